--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -137,7 +137,7 @@
     }
     if call.workspace.is_some() && node.lacks_proof() {
         let refusal = IdentityRefusal::NoProof;
-        node.decisions.count("refused", refusal.name());
+        node.metrics.count("refused", refusal.name());
         return Admission::Refused(refuse_for_now(node, call, refusal.text()));
     }
     Admission::LetIn
@@ -238,11 +238,11 @@
         room_in,
     };
     let wait = returns.draw(&mut *node.random.borrow_mut());
-    node.decisions.count("refused", "shortage");
+    node.metrics.count("refused", "shortage");
     if *own_chance < shortage.chance {
-        node.decisions.count("refused_by_share", "asked_for_more");
+        node.metrics.count("refused_by_share", "asked_for_more");
     }
-    if node.decisions.has_line(now) {
+    if node.metrics.take_log_permit(now) {
         let why = format!(
             "{} has room for {:.2} of the offered load, told {} ms ago, short for {} ms; \
              {:.2} of this rank are let in, {own_chance:.2} of this workspace's",
@@ -262,7 +262,7 @@
 }
 
 fn refuse_stopping(node: &RoutedNode, call: &OutgoingCall) -> Response<WholeBody> {
-    node.decisions.count("refused", "stopping");
+    node.metrics.count("refused", "stopping");
     refuse_for_now(node, call, "this node stops\n")
 }
 
--- a/crates/kumquatquayd/src/routed/carry.rs
+++ b/crates/kumquatquayd/src/routed/carry.rs
@@ -230,7 +230,7 @@
             targets.ended(node.now(), other.control, TargetEnded::GivenUp, None);
             return None;
         }
-        node.decisions.count("repeat", "beside");
+        node.metrics.count("repeat", "beside");
         self.progress.sends_count += 1;
         self.asked.push(other.control);
         self.progress.last = Some(other.control);
@@ -242,7 +242,7 @@
     fn once_more(&self, node: &RoutedNode, call: &OutgoingCall) -> Verdict {
         let is_allowed = self.progress.sends_count < call.route.settings.attempts_count;
         if is_allowed && node.take_repeat(&call.route.settings.name, &call.service) {
-            node.decisions.count("repeat", "sent");
+            node.metrics.count("repeat", "sent");
             Verdict::Elsewhere
         } else {
             Verdict::Final
@@ -362,7 +362,7 @@
         targets.on_limit(node.now(), life, report.rate);
     }
     if answer.is_leaving && node.targets.borrow_mut().on_leaving(node.now(), life) {
-        node.decisions.count("server_leaving", "told");
+        node.metrics.count("server_leaving", "told");
         log::info!(event = "server_leaving", life:% = life, from = "answer",
             node:% = choice.control;
             "a backend server says that it leaves and is called no more");
@@ -404,8 +404,8 @@
         if levels.on_route(now, route, &call.service, gate, news.clone()) {
             node.learnt.tell(now, route, &call.service, news);
         } else {
-            node.decisions.count("news", "senseless");
-            if node.decisions.has_line(now) {
+            node.metrics.count("news", "senseless");
+            if node.metrics.take_log_permit(now) {
                 log::warn!(event = "news_senseless", route = route.as_str(),
                     service = call.service.as_str(), gate:% = gate;
                     "what a node tells of a route can't be; it is passed over");
--- a/crates/kumquatquayd/src/routed/connection_row.rs
+++ b/crates/kumquatquayd/src/routed/connection_row.rs
@@ -300,8 +300,8 @@
         let caller = self
             .caller
             .map_or_else(String::new, |caller| caller.to_string());
-        self.node.decisions.count("pipelined", "unclear");
-        if self.node.decisions.has_line(self.node.now()) {
+        self.node.metrics.count("pipelined", "unclear");
+        if self.node.metrics.take_log_permit(self.node.now()) {
             log::warn!(event = "pipelining_unclear", caller = caller.as_str();
                 "where a request ended was read in two ways; nothing more is read ahead on this connection");
         }
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -51,7 +51,7 @@
     let table = Arc::clone(&identified.table);
     let route = Arc::clone(&identified.route);
     if is_too_late(node, &route) {
-        node.decisions.count("refused", "stopping");
+        node.metrics.count("refused", "stopping");
         let retry = Some(retry_after(node, &route.settings));
         return own_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "this node stops\n");
     }
@@ -62,7 +62,7 @@
     let body = match read_body(body, table.limits().body_limit_bytes).await {
         Ok(body) => body,
         Err(status) => {
-            node.decisions.count("refused", "body");
+            node.metrics.count("refused", "body");
             return own_answer(status, None, "the body is too long or broken\n");
         }
     };
@@ -115,7 +115,7 @@
             answer_carried(node, &call, answer, began)
         }
         Err(_) => {
-            node.decisions.count("failed", "deadline");
+            node.metrics.count("failed", "deadline");
             log_unless_many(node, &call, "failed", "deadline", None, began);
             own_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
@@ -141,7 +141,7 @@
     marks: &RequestMarks,
     refusal: IdentityRefusal,
 ) -> Response<WholeBody> {
-    node.decisions.count("refused", refusal.name());
+    node.metrics.count("refused", refusal.name());
     log_unidentified(node, marks, refusal);
     let may_return = refusal.status() == StatusCode::SERVICE_UNAVAILABLE;
     let retry = may_return.then_some(NOT_CONFIGURED_RETRY);
@@ -160,7 +160,7 @@
         QuotaRefusal::Over { .. } => (StatusCode::TOO_MANY_REQUESTS, "over_quota"),
         QuotaRefusal::NoKeeper => (StatusCode::SERVICE_UNAVAILABLE, "no_keeper"),
     };
-    node.decisions.count("refused", why);
+    node.metrics.count("refused", why);
     log_over_quota(node, marks, route, workspace, why, refusal);
     let wait = match refusal {
         QuotaRefusal::Over { wait_ms, .. } => wait_ms.map(u64::from).map(Duration::from_millis),
@@ -212,7 +212,7 @@
 ) -> Entered {
     loop {
         let Some(call) = call_of(request, identified) else {
-            node.decisions.count("refused", "no_destination");
+            node.metrics.count("refused", "no_destination");
             let retry = Some(NOT_CONFIGURED_RETRY);
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return Entered::Refused(own_answer(status, retry, "no destination\n"));
@@ -232,7 +232,7 @@
             Ok(identified) => identified,
             Err(refusal) => {
                 // It was allowed when it came. Its caller finds out when it comes back.
-                node.decisions.count("refused", refusal.name());
+                node.metrics.count("refused", refusal.name());
                 let refusal = refuse_for_now(node, &call, refusal.text());
                 return Entered::Refused(refusal);
             }
@@ -308,8 +308,8 @@
     match &answer.outcome {
         LinkOutcome::Answered { status } => {
             let latency = node.now().saturating_sub(began);
-            node.decisions.served(latency);
-            if node.decisions.samples_served(node.now()) {
+            node.metrics.record_served(latency);
+            if node.metrics.take_sampled_log_permit(node.now()) {
                 log_ended(node, call, &answer, "served", began);
             }
             let mut response = Response::new(Full::new(answer.payload.body));
@@ -319,19 +319,19 @@
             response
         }
         LinkOutcome::NotRun(reason) => {
-            node.decisions.count("refused", not_run_name(*reason));
+            node.metrics.count("refused", not_run_name(*reason));
             log_ended(node, call, &answer, "refused", began);
             let retry = Some(retry_after(node, &call.route.settings));
             own_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "no room\n")
         }
         LinkOutcome::Unknown(UnknownReason::NoAnswer) => {
-            node.decisions
+            node.metrics
                 .count("failed", unknown_name(UnknownReason::NoAnswer));
             log_ended(node, call, &answer, "failed", began);
             own_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
         LinkOutcome::Unknown(reason) => {
-            node.decisions.count("failed", unknown_name(*reason));
+            node.metrics.count("failed", unknown_name(*reason));
             log_ended(node, call, &answer, "failed", began);
             own_answer(StatusCode::BAD_GATEWAY, None, "no whole answer\n")
         }
--- a/crates/kumquatquayd/src/routed/first_look.rs
+++ b/crates/kumquatquayd/src/routed/first_look.rs
@@ -59,7 +59,7 @@
     let taken = lives.on_report(node.now(), found.report);
     drop(lives);
     if taken == Ok(true) {
-        node.decisions.count("report", "first_look");
+        node.metrics.count("report", "first_look");
         backend_changed(node);
         on_first_limit(node, &life, found.limit);
     }
--- a/crates/kumquatquayd/src/routed/holding.rs
+++ b/crates/kumquatquayd/src/routed/holding.rs
@@ -69,7 +69,7 @@
         }
         // It isn't there any more if it was let in as its caller left.
         self.node.held_requests.borrow_mut().remove(&self.key);
-        self.node.decisions.count("held", "caller_left");
+        self.node.metrics.count("held", "caller_left");
     }
 }
 
@@ -136,8 +136,8 @@
     end: HoldEnd,
 ) {
     let now = node.now();
-    node.decisions.count("held", end.name());
-    if !node.decisions.has_line(now) {
+    node.metrics.count("held", end.name());
+    if !node.metrics.take_log_permit(now) {
         return;
     }
     let call = entering.call;
@@ -196,7 +196,7 @@
             HoldOutcome::NoRoom { room_in } => HoldEnd::NoRoom { room_in },
         };
         if outcome == HoldOutcome::Due {
-            node.decisions.count("held", "due");
+            node.metrics.count("held", "due");
         }
         let _ = ticket.send(end);
     }
--- a/crates/kumquatquayd/src/routed/http_io.rs
+++ b/crates/kumquatquayd/src/routed/http_io.rs
@@ -52,7 +52,7 @@
                 take(Rc::clone(&node), stream);
             }
             Err(error) => {
-                node.decisions.count("accept_failed", "error");
+                node.metrics.count("accept_failed", "error");
                 log::warn!(event = "accept_failed"; "a connection was not accepted: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -229,7 +229,7 @@
     let lost_count = pending.len();
     link.news.notify_waiters();
     reach_again(&node, peer);
-    node.decisions.count("link_ended", "lost");
+    node.metrics.count("link_ended", "lost");
     log::info!(event = "link_ended", peer:% = peer, calls = lost_count; "{why}");
     for pending in pending.into_values() {
         // A frame that was not written to its end was never understood, and one that
@@ -410,7 +410,7 @@
             node.targets.borrow_mut().lost(link.peer);
             let is_news = |is_silent: &mut bool| !std::mem::replace(is_silent, true);
             if link.is_silent.send_if_modified(is_news) {
-                node.decisions.count("link", "silent");
+                node.metrics.count("link", "silent");
                 log::info!(event = "link_silent", peer:% = link.peer;
                     "no sign of life: calls go elsewhere");
             }
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -157,7 +157,7 @@
                 on_call(node, link, call.number, frame.held()?);
             } else {
                 // Answers wait in memory for a peer that doesn't read.
-                node.decisions.count("link", "unread_answers");
+                node.metrics.count("link", "unread_answers");
                 let refusal = LinkAnswer::not_run(NotRunReason::Full);
                 tell_answer(node, link, call.number, call.route, &refusal);
             }
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -198,7 +198,7 @@
 
 fn on_entered(node: &RoutedNode, course: &mut RegisterCourse) {
     course.entered(node.now());
-    node.decisions.count("register", "entered");
+    node.metrics.count("register", "entered");
     log::info!(event = "register_entered"; "this node stands in the register");
 }
 
--- a/crates/kumquatquayd/src/routed/metrics_text.rs
+++ b/crates/kumquatquayd/src/routed/metrics_text.rs
@@ -10,11 +10,11 @@
 /// Counters, latencies and gauges of a node.
 pub(crate) fn metrics_text(node: &RoutedNode) -> String {
     let mut text = String::new();
-    for ((what, why), count) in node.decisions.counts() {
+    for ((what, why), count) in node.metrics.counts() {
         let _ = writeln!(text, "kumquatquay_{what}_total{{why=\"{why}\"}} {count}");
     }
     for quantile in QUANTILES {
-        let latency_ms = node.decisions.latency(quantile).as_secs_f64() * 1_000.0;
+        let latency_ms = node.metrics.latency_quantile(quantile).as_secs_f64() * 1_000.0;
         let _ = writeln!(
             text,
             "kumquatquay_served_latency_ms{{quantile=\"{quantile}\"}} {latency_ms:.1}"
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -24,11 +24,11 @@
 
 use super::{
     backend_pool::BackendPool,
-    decisions::Decisions,
     holding::HeldRequests,
     interface::Dialect,
     learnt_log::LearntLog,
     link::Links,
+    node_metrics::NodeMetrics,
     quotas::Quotas,
     retries::{AT_GATE_RATIO, Retries},
     runners::Runners,
@@ -124,7 +124,7 @@
     /// News of routes that were worked out just now.
     news: RefCell<HashMap<String, (Duration, RouteNews)>>,
     pub(crate) backend: BackendPool,
-    pub(crate) decisions: Decisions,
+    pub(crate) metrics: NodeMetrics,
     pub(crate) learnt: LearntLog,
     /// Quotas of workspaces: what this node owns and keeps.
     pub(crate) quotas: RefCell<Quotas>,
@@ -235,7 +235,7 @@
             held_requests: RefCell::default(),
             shares: RefCell::default(),
             held_request_news: Notify::new(),
-            decisions: Decisions::new(),
+            metrics: NodeMetrics::new(),
             learnt: LearntLog::default(),
             quotas: RefCell::new(Quotas::new(unsuspended())),
             told_nodes_count: Cell::new(0),
@@ -323,7 +323,7 @@
         self.routes.replace(Some(Arc::new(table)));
         self.configuration.replace(Some(configuration));
         self.prove(|proof| proof.applied(version));
-        self.decisions.count("configuration", from);
+        self.metrics.count("configuration", from);
         log::info!(event = "configuration_in_force", version = version, from = from;
             "a newer configuration is in force");
     }
--- a/crates/kumquatquayd/src/routed/decisions.rs
+++ b/crates/kumquatquayd/src/routed/node_metrics.rs
@@ -23,7 +23,7 @@
 
 /// Counters and latencies of one node.
 #[derive(Debug)]
-pub(crate) struct Decisions {
+pub(crate) struct NodeMetrics {
     counts: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
     latencies: RefCell<Histogram<u64>>,
     second: Cell<u64>,
@@ -32,7 +32,7 @@
     served_count: Cell<u64>,
 }
 
-impl Decisions {
+impl NodeMetrics {
     pub(crate) fn new() -> Self {
         let latencies = Histogram::new_with_bounds(1, LATENCY_LONGEST_US, LATENCY_DIGITS);
         Self {
@@ -51,7 +51,7 @@
     }
 
     /// Counts a request that was served, with its latency.
-    pub(crate) fn served(&self, latency: Duration) {
+    pub(crate) fn record_served(&self, latency: Duration) {
         self.count("served", "answered");
         let latency_us = latency.as_micros() as u64;
         self.latencies
@@ -61,12 +61,12 @@
     }
 
     /// Whether the request that was just served gets a line.
-    pub(crate) fn samples_served(&self, now: Duration) -> bool {
-        self.served_count.get() % SERVED_SAMPLE == 1 && self.has_line(now)
+    pub(crate) fn take_sampled_log_permit(&self, now: Duration) -> bool {
+        self.served_count.get() % SERVED_SAMPLE == 1 && self.take_log_permit(now)
     }
 
     /// Whether one more line about a request may be written in this second.
-    pub(crate) fn has_line(&self, now: Duration) -> bool {
+    pub(crate) fn take_log_permit(&self, now: Duration) -> bool {
         if self.second.replace(now.as_secs()) != now.as_secs() {
             self.lines_count.set(0);
             let left_out_count = self.left_out_count.replace(0);
@@ -89,7 +89,7 @@
     }
 
     /// Latency below which the given share of the served requests lie.
-    pub(crate) fn latency(&self, quantile: f64) -> Duration {
+    pub(crate) fn latency_quantile(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.latencies.borrow().value_at_quantile(quantile))
     }
 }
--- a/crates/kumquatquayd/src/routed/pipelining.rs
+++ b/crates/kumquatquayd/src/routed/pipelining.rs
@@ -136,8 +136,8 @@
 
 /// Refuses a request while callers leave too much unread.
 fn refuse_for_memory(node: &RoutedNode) -> Response<WholeBody> {
-    node.decisions.count("refused", "unread_answers");
-    if node.decisions.has_line(node.now()) {
+    node.metrics.count("refused", "unread_answers");
+    if node.metrics.take_log_permit(node.now()) {
         log::warn!(event = "answers_unread", held_bytes = node.held_answers.get().bytes();
             "callers leave so much unread that no request is taken");
     }
@@ -202,7 +202,7 @@
         let stalled = &mut self.stalled;
         let stalled = stalled.get_or_insert_with(|| Box::pin(sleep(WRITE_PATIENCE)));
         std::task::ready!(stalled.as_mut().poll(context));
-        self.row.node.decisions.count("caller", "stalled");
+        self.row.node.metrics.count("caller", "stalled");
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -218,7 +218,7 @@
         quotas.silent.remove(&keeper);
     } else {
         quotas.silent.insert(keeper, node.now());
-        node.decisions.count("quota", "no_answer");
+        node.metrics.count("quota", "no_answer");
     }
     answer.ok()?.ok()
 }
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -47,7 +47,7 @@
 ///
 /// Whoever writes such reports may write thousands: a line a second tells of them.
 fn bad_report(node: &RoutedNode, reason: String) -> Response<WholeBody> {
-    node.decisions.count("report", "refused");
+    node.metrics.count("report", "refused");
     let second = node.now().as_secs();
     if node.refused_report_second.replace(Some(second)) != Some(second) {
         log::warn!(event = "report_refused"; "{reason}");
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -62,7 +62,7 @@
     report: Option<GateReport>,
     began: Duration,
 ) {
-    if node.decisions.has_line(node.now()) {
+    if node.metrics.take_log_permit(node.now()) {
         log_line(node, call, outcome, why, report, began);
     }
 }
@@ -104,7 +104,7 @@
 /// Writes a line on a request of which it isn't known whose it is, or for which there is no
 /// route. Nothing of what it shows as a key is written.
 pub(crate) fn log_unidentified(node: &RoutedNode, marks: &RequestMarks, refusal: IdentityRefusal) {
-    if !node.decisions.has_line(node.now()) {
+    if !node.metrics.take_log_permit(node.now()) {
         return;
     }
     let proof_age_ms = node.proof_age().map(|age| age.as_millis() as u64);
@@ -128,7 +128,7 @@
     why: &'static str,
     refusal: QuotaRefusal,
 ) {
-    if !node.decisions.has_line(node.now()) {
+    if !node.metrics.take_log_permit(node.now()) {
         return;
     }
     let quota = workspace.quota;
--- a/crates/kumquatquayd/src/routed/routes_watch.rs
+++ b/crates/kumquatquayd/src/routed/routes_watch.rs
@@ -169,7 +169,7 @@
                 log_lost(node, unheard, &error.to_string());
             }
             log::debug!(event = "store_read_failed", took_ms = took_ms; "{error}");
-            node.decisions.count("store_failed", "routes");
+            node.metrics.count("store_failed", "routes");
             false
         }
     }
@@ -193,7 +193,7 @@
     }
     for findings in news.malformed {
         let findings = findings.join("; ");
-        node.decisions.count("configuration", "malformed");
+        node.metrics.count("configuration", "malformed");
         log::error!(event = "configuration_refused", in_force = node.route_version();
             "a configuration that can't be read is left out: {findings}");
     }
--- a/crates/kumquatquayd/src/routed/run_here.rs
+++ b/crates/kumquatquayd/src/routed/run_here.rs
@@ -208,7 +208,7 @@
         }
     };
     if node.gate.borrow().limit_wait(node.now()).is_some() {
-        node.decisions.count("server_limit", "waited");
+        node.metrics.count("server_limit", "waited");
         node.limit_wait_news.notify_one();
     }
     let mut waiting = WaitingCall { node, key, granted };
@@ -228,7 +228,7 @@
 fn refusal(node: &RoutedNode) -> NotRunReason {
     let reason = node.gate.borrow().refusal(node.now());
     if reason == NotRunReason::Limited {
-        node.decisions.count("server_limit", "refused");
+        node.metrics.count("server_limit", "refused");
     }
     reason
 }
@@ -370,7 +370,7 @@
         if !is_handed_over_again(node, timed, hand_overs_count) {
             break;
         }
-        node.decisions.count("repeat", "at_gate");
+        node.metrics.count("repeat", "at_gate");
     }
     LinkAnswer::not_run(NotRunReason::TurnedAway)
 }
@@ -395,7 +395,7 @@
         HandedOver::Ended(_) => "other",
     };
     drop(failures);
-    node.decisions.count("run", outcome);
+    node.metrics.count("run", outcome);
 }
 
 fn is_handed_over_again(node: &RoutedNode, timed: &Timed<'_>, hand_overs_count: u32) -> bool {
@@ -479,7 +479,7 @@
         .as_ref()
         .is_some_and(|attempt| *attempt != timed.call.attempt);
     if is_other {
-        node.decisions.count("garbled", "other_request");
+        node.metrics.count("garbled", "other_request");
         answer.discard();
         return HandedOver::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
@@ -502,7 +502,7 @@
     let is_own = marks.attempt.is_some() && marks.is_signed && !is_encoded;
     let is_hollow_promise = PROMISES.contains(&answer.status) && !marks.is_signed;
     if (is_success && !is_own) || is_hollow_promise {
-        node.decisions.count("garbled", "unsigned");
+        node.metrics.count("garbled", "unsigned");
         answer.discard();
         return HandedOver::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -47,7 +47,7 @@
     }
     lives.on_leave(node.now(), life);
     drop(lives);
-    node.decisions.count("server_leaving", "answer");
+    node.metrics.count("server_leaving", "answer");
     log::info!(event = "server_leaving", life:% = life, from = "answer";
         "the backend server of this host says that it leaves");
     backend_changed(node);
@@ -56,8 +56,8 @@
 fn on_limit(node: &RoutedNode, life: &BackendLife, began: Duration, limit: AdvertisedLimit) {
     let now = node.now();
     if limit == AdvertisedLimit::Malformed {
-        node.decisions.count("server_limit", "malformed");
-        if node.decisions.has_line(now) {
+        node.metrics.count("server_limit", "malformed");
+        if node.metrics.take_log_permit(now) {
             log::warn!(event = "server_limit_malformed", life:% = life;
                 "a rate limit in an answer can't be read; what was known before holds");
         }
@@ -117,9 +117,9 @@
         (_, None) => "ended",
         _ => "changed",
     };
-    node.decisions.count("server_limit", what);
+    node.metrics.count("server_limit", what);
     let now = node.now();
-    if node.decisions.has_line(now) {
+    if node.metrics.take_log_permit(now) {
         let age = node.gate.borrow().server_limit().age(now);
         log::info!(event = "server_limit", life:% = life, what = what,
             was_per_s = text_of(change.from_per_s), per_s = text_of(change.to_per_s),
--- a/crates/kumquatquayd/src/routed/started_request.rs
+++ b/crates/kumquatquayd/src/routed/started_request.rs
@@ -118,7 +118,7 @@
         whole_bytes: usize,
         waiting_bytes: Rc<Cell<usize>>,
     ) -> Self {
-        node.decisions.count("pipelined", "started");
+        node.metrics.count("pipelined", "started");
         let (mut parts, whole) = request.into_parts();
         let body = CallerBody::Right(whole.clone().into());
         let kept = parts.clone();
@@ -179,7 +179,7 @@
     fn drop(&mut self) {
         if let Some(answer) = self.answer.take() {
             answer.abort();
-            self.node.decisions.count("pipelined", "given_up");
+            self.node.metrics.count("pipelined", "given_up");
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/store_return.rs
+++ b/crates/kumquatquayd/src/routed/store_return.rs
@@ -75,7 +75,7 @@
                 let era = era.unwrap_or_default();
                 let now = self.unsuspended();
                 self.proof.borrow_mut().returned(now, era);
-                self.decisions.count("store_returned", from);
+                self.metrics.count("store_returned", from);
                 log::warn!(event = "store_returned_from_copy", era = era, before = before,
                     from = from, in_force = self.route_version();
                     "the store has lost what was written lately; it is read anew, and this node \
@@ -100,7 +100,7 @@
         }
         let in_force = self.route_version();
         if is_behind {
-            self.decisions.count("store_lacks", "configuration");
+            self.metrics.count("store_lacks", "configuration");
             log::warn!(event = "store_lacks_configuration", in_force = in_force;
                 "the store came back without the configuration in force, which stays; it is to \
                  be written again");
@@ -111,7 +111,7 @@
     }
 
     fn pass_over_era(&self, why: &'static str, text: &str) {
-        self.decisions.count("store_era_passed_over", why);
+        self.metrics.count("store_era_passed_over", why);
         let now = self.now();
         let mut line_at = self.store_return.line_at.borrow_mut();
         if line_at.is_none_or(|line_at| now >= line_at + LINE_PAUSE) {
