--- a/crates/kumquatquay-core/src/configuration/log_reader.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reader.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use kumquatquay_wire::{LogOffset, RecordDigest};
 
-use crate::{ReadId, routed::StoreEras};
+use crate::{ReadId, routed::EraTracker};
 
 /// Where the reading of the stream stands.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
     /// hold other records at the offsets that this node has read.
     pub(super) must_verify: bool,
     /// Eras of the log.
-    pub(super) eras: StoreEras,
+    pub(super) eras: EraTracker,
     /// Whether all that the log holds is taken in.
     pub(super) is_caught_up: bool,
     /// Whether the log said that the stream never held a record.
--- a/crates/kumquatquay-core/src/configuration/reading.rs
+++ b/crates/kumquatquay-core/src/configuration/reading.rs
@@ -11,7 +11,7 @@
     peer_fetch, snapshot_schedule,
 };
 use crate::{
-    Blackboard, Counter, LogRecord, Moment, Note, Output, ReadId, Severity, routed::EraNews,
+    Blackboard, Counter, LogRecord, Moment, Note, Output, ReadId, Severity, routed::EraChange,
 };
 
 /// How long the log may hold back an empty answer to a follower.
@@ -217,7 +217,7 @@
 /// has read, so the last one is checked before anything is taken in.
 fn has_returned(board: &mut Blackboard, era: Option<StoreEra>, out: &mut Vec<Output>) -> bool {
     let reader = &mut board.configuration.reader;
-    let EraNews::Returned { before } = reader.eras.seen(era) else {
+    let EraChange::Returned { before } = reader.eras.seen(era) else {
         return false;
     };
     reader.must_verify = true;
--- a/crates/kumquatquay-core/src/membership/seed_log.rs
+++ b/crates/kumquatquay-core/src/membership/seed_log.rs
@@ -11,7 +11,7 @@
 use super::carrier;
 use crate::{
     AppendId, Blackboard, LogInput, LogRecord, Moment, Output, ReadId,
-    routed::{EraNews, StoreEras},
+    routed::{EraChange, EraTracker},
 };
 
 /// Stream that holds control addresses of members.
@@ -51,7 +51,7 @@
     next_read: Option<Duration>,
     append: Option<AppendId>,
     next_append: Option<Duration>,
-    eras: StoreEras,
+    eras: EraTracker,
 }
 
 impl SeedLog {
@@ -92,7 +92,7 @@
             ..
         } => {
             seeds.read = None;
-            if let EraNews::Returned { .. } = seeds.eras.seen(era) {
+            if let EraChange::Returned { .. } = seeds.eras.seen(era) {
                 // Offsets are given out again; seeds that are lost are appended in turn.
                 seeds.from = None;
             }
--- a/crates/kumquatquay-core/src/operations/controller.rs
+++ b/crates/kumquatquay-core/src/operations/controller.rs
@@ -19,7 +19,7 @@
 };
 use crate::{
     AttemptEnded, AttemptResult, Blackboard, CallEnding, CallId, Counter, IssueOperation, LogInput,
-    Moment, OperationIssued, Output, RefusalReason, call, routed::EraNews,
+    Moment, OperationIssued, Output, RefusalReason, call, routed::EraChange,
 };
 
 /// How often the memory and the views are swept.
@@ -354,7 +354,7 @@
     let LogInput::Read { era, .. } = input else {
         return;
     };
-    if let EraNews::Returned { .. } = board.operations.log_eras.seen(*era) {
+    if let EraChange::Returned { .. } = board.operations.log_eras.seen(*era) {
         claim_reading::on_log_returned(board, now, out);
         resume(board, now, out);
     }
--- a/crates/kumquatquay-core/src/operations/operation_table.rs
+++ b/crates/kumquatquay-core/src/operations/operation_table.rs
@@ -11,7 +11,7 @@
     claim::PartitionId, claim_partition::ClaimPartition, digest::KeyDigest,
     operation_memory::OperationMemory,
 };
-use crate::{CallEnding, CallId, routed::StoreEras};
+use crate::{CallEnding, CallId, routed::EraTracker};
 
 /// Non-idempotent operations, at most once.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
     /// Keys are refused until this, on the monotonic clock: the log is down.
     pub(crate) log_refused_until: Duration,
     /// Eras of the log, as answers to any of its readers told them.
-    pub(crate) log_eras: StoreEras,
+    pub(crate) log_eras: EraTracker,
     /// Keys are refused until this, on the monotonic clock: the log came back from a copy that
     /// may lack their claims.
     pub(crate) claims_lost_until: Duration,
--- a/crates/kumquatquay-core/src/quota/keepers.rs
+++ b/crates/kumquatquay-core/src/quota/borrowers.rs
@@ -30,7 +30,7 @@
 /// Ranks are worked out anew only when the members have changed: each takes a hash, and they are
 /// looked at a few times a second on every node, idle or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Keepers {
+pub struct Borrowers {
     members: Vec<Candidate>,
     ranked: [Vec<Keeper>; HALVES_COUNT],
 }
@@ -50,7 +50,7 @@
     peer: SocketAddr,
 }
 
-impl Keepers {
+impl Borrowers {
     /// Ranks the members, as a node of a data centre sees them.
     pub fn among<'a>(data_centre: &str, members: impl Iterator<Item = &'a MemberRecord>) -> Self {
         let mut keepers = Self::default();
--- a/crates/kumquatquay-core/src/quota/lender.rs
+++ b/crates/kumquatquay-core/src/quota/lender.rs
@@ -6,11 +6,11 @@
 
 /// How long a loan lasts. A keeper asks again well before its end; one that is gone takes what
 /// was lent to it along for so long.
-pub const LOAN_TIME: Duration = Duration::from_millis(600);
+pub const LOAN_DURATION: Duration = Duration::from_millis(600);
 
 /// Time after a node's start in which it owns nothing: what it lent in its life before may
 /// still be used.
-const OWNS_NOTHING_TIME: Duration = LOAN_TIME;
+const OWNS_NOTHING_TIME: Duration = LOAN_DURATION;
 
 /// What a node owns of each quota, and to whom it is lent.
 ///
@@ -48,7 +48,7 @@
             for (slice, lent) in slices.iter_mut().enumerate() {
                 let is_taken = lent.is_some_and(|lent| lent.keeper != keeper && now < lent.until);
                 if asked.has(half, slice) && !is_taken {
-                    let until = now + LOAN_TIME;
+                    let until = now + LOAN_DURATION;
                     *lent = Some(Lent { keeper, until });
                     granted.add(half, slice);
                 }
--- a/crates/kumquatquay-core/src/quota/limit.rs
+++ b/crates/kumquatquay-core/src/quota/limit.rs
@@ -8,7 +8,7 @@
 
 /// By how much a quota may be passed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaSlack {
+pub struct QuotaTolerance {
     /// Share of what a quota lets in within a window.
     pub overage_ratio: f64,
     /// Requests besides that share.
@@ -30,7 +30,7 @@
     /// What keepers have doesn't follow at once where requests come in, and those that a quota
     /// allows must not be refused for that. So room for error is used, such that no window holds
     /// more than is allowed.
-    pub fn of(quota: Quota, slack: Option<QuotaSlack>) -> Self {
+    pub fn of(quota: Quota, slack: Option<QuotaTolerance>) -> Self {
         let Some(slack) = slack else {
             return Self {
                 rate_per_s: quota.rate_per_s,
--- a/crates/kumquatquay-core/src/quota/mod.rs
+++ b/crates/kumquatquay-core/src/quota/mod.rs
@@ -13,7 +13,7 @@
 //!   the keepers are.
 //! - [`QuotaPool`] is the keeper's side: tokens that grow with what is lent to it.
 //! - [`NodeQuotas`] puts both together for one node: what isn't lent counts for its owner.
-//! - [`Keepers`] ranks the nodes, as each node sees them for itself.
+//! - [`Borrowers`] ranks the nodes, as each node sees them for itself.
 //!
 //! A loan runs from the moment at which the keeper *asked*, by the keeper's clock, and to a
 //! moment that the owner counts from its answer, by the owner's clock; the second is never the
@@ -40,16 +40,16 @@
 //! assert!(pool.take(now + second / 2, "north", limit).is_err());
 //! ```
 
-mod keepers;
+mod borrowers;
 mod lender;
 mod limit;
 mod node_quotas;
 mod pool;
 mod slices;
 
-pub use keepers::Keepers;
-pub use lender::{LOAN_TIME, Lender};
-pub use limit::{QuotaLimit, QuotaSlack};
+pub use borrowers::Borrowers;
+pub use lender::{LOAN_DURATION, Lender};
+pub use limit::{QuotaLimit, QuotaTolerance};
 pub use node_quotas::NodeQuotas;
-pub use pool::{Loan, OverQuota, QuotaPool};
+pub use pool::{Loan, QuotaExceeded, QuotaPool};
 pub use slices::slice_of;
--- a/crates/kumquatquay-core/src/quota/node_quotas.rs
+++ b/crates/kumquatquay-core/src/quota/node_quotas.rs
@@ -7,7 +7,7 @@
 
 use kumquatquay_wire::routed::SliceSets;
 
-use super::{Lender, Loan, OverQuota, QuotaLimit, QuotaPool};
+use super::{Lender, Loan, QuotaExceeded, QuotaLimit, QuotaPool};
 
 /// Stands for the node itself, as a keeper of what nobody has asked it to lend.
 const OWN_REST: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
@@ -73,13 +73,13 @@
     ///
     /// # Errors
     ///
-    /// [`OverQuota`] if there is none.
+    /// [`QuotaExceeded`] if there is none.
     pub fn take(
         &mut self,
         now: Duration,
         workspace: &str,
         limit: QuotaLimit,
-    ) -> Result<(), OverQuota> {
+    ) -> Result<(), QuotaExceeded> {
         self.pool.take(now, workspace, limit)
     }
 
--- a/crates/kumquatquay-core/src/quota/pool.rs
+++ b/crates/kumquatquay-core/src/quota/pool.rs
@@ -9,7 +9,7 @@
 use kumquatquay_wire::routed::{SLICES_COUNT, SliceSets, WorkspaceName};
 
 use super::{
-    lender::LOAN_TIME,
+    lender::LOAN_DURATION,
     limit::QuotaLimit,
     slices::{part_of, slice_of},
 };
@@ -30,7 +30,7 @@
 
 /// A request is beyond the quota of its workspace.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OverQuota {
+pub struct QuotaExceeded {
     /// When there is a token again; `None` while nothing is lent.
     pub wait: Option<Duration>,
     /// Part of the quota that is lent to this keeper.
@@ -72,7 +72,7 @@
     /// A node lends this much, in place of what it lent before.
     pub fn lent(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
         self.advance(now);
-        let until = loan.asked + LOAN_TIME;
+        let until = loan.asked + LOAN_DURATION;
         if until > now && !loan.granted.is_empty() {
             self.loans.insert(lender, (loan, until));
         } else {
@@ -85,13 +85,13 @@
     ///
     /// # Errors
     ///
-    /// [`OverQuota`] if there is none.
+    /// [`QuotaExceeded`] if there is none.
     pub fn take(
         &mut self,
         now: Duration,
         workspace: &str,
         limit: QuotaLimit,
-    ) -> Result<(), OverQuota> {
+    ) -> Result<(), QuotaExceeded> {
         self.advance(now);
         let share = self.slices[slice_of(workspace)].share;
         let bucket = self.filled(workspace, limit);
@@ -102,7 +102,7 @@
         let rate_per_s = limit.rate_per_s * share;
         let wait_s = (1.0 - bucket.tokens_count) / rate_per_s;
         let wait = Duration::try_from_secs_f64(wait_s).ok();
-        Err(OverQuota { wait, share })
+        Err(QuotaExceeded { wait, share })
     }
 
     /// A request for which a token was taken has not run.
--- a/crates/kumquatquay-core/src/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/src/routed/backend_lives.rs
@@ -38,7 +38,7 @@
 
 /// A report that can't be of the backend server of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
-pub enum ReportRefusal {
+pub enum ReportError {
     /// It doesn't tell the start of its life, as those before did.
     #[display("it doesn't tell when its life began, as the reports before did")]
     StartUntold,
@@ -77,9 +77,9 @@
     /// # Errors
     ///
     /// Why it can't be of this backend server; nothing has changed then.
-    pub fn on_report(&mut self, now: Duration, report: LifeReport) -> Result<bool, ReportRefusal> {
+    pub fn on_report(&mut self, now: Duration, report: LifeReport) -> Result<bool, ReportError> {
         if report.life.born_unix_ms.is_none() && self.last_born_unix_ms.is_some() {
-            return Err(ReportRefusal::StartUntold);
+            return Err(ReportError::StartUntold);
         }
         self.make_room();
         let id = report.life.clone();
--- a/crates/kumquatquay-core/src/routed/call_graph.rs
+++ b/crates/kumquatquay-core/src/routed/call_graph.rs
@@ -132,7 +132,7 @@
 
 /// How often one run of a route makes a call on another.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GraphRow {
+pub struct CallEdge {
     /// The other route.
     pub route: String,
     /// Calls in one run, on the mean.
@@ -204,7 +204,7 @@
     }
 
     /// What one run of a route calls.
-    pub fn rows(&self, route: &str) -> Vec<GraphRow> {
+    pub fn rows(&self, route: &str) -> Vec<CallEdge> {
         let place = self.runs.iter().position(|runs| runs.route == route);
         if !self.is_settled() {
             return self.first_rows(route);
@@ -216,7 +216,7 @@
         let Some(inverse) = inverse_of(&self.ridged()) else {
             return Vec::new();
         };
-        let rows = self.calls.iter().map(|(callee, calls)| GraphRow {
+        let rows = self.calls.iter().map(|(callee, calls)| CallEdge {
             route: callee.clone(),
             calls_count: self.estimate(calls, &inverse, place),
         });
@@ -227,7 +227,7 @@
     /// What is said before enough was seen: where nearly all runs are of one route,
     /// the calls are taken to be its own. A surge may come with the very first
     /// requests, and until something is known all of them are let in.
-    fn first_rows(&self, route: &str) -> Vec<GraphRow> {
+    fn first_rows(&self, route: &str) -> Vec<CallEdge> {
         let all_count: u32 = self.runs.iter().map(|runs| runs.all_count).sum();
         let runs = self.runs.iter().find(|runs| runs.route == route);
         let Some(runs) = runs.filter(|runs| runs.all_count >= FIRST_RUNS_LEAST_COUNT) else {
@@ -237,7 +237,7 @@
             return Vec::new();
         }
         let runs_count = f64::from(runs.all_count);
-        let rows = self.calls.iter().map(|(callee, calls)| GraphRow {
+        let rows = self.calls.iter().map(|(callee, calls)| CallEdge {
             route: callee.clone(),
             calls_count: f64::from(calls.all_count) / runs_count,
         });
--- a/crates/kumquatquay-core/src/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/src/routed/call_tracer.rs
@@ -7,7 +7,7 @@
 
 use kumquatquay_wire::routed::Priority;
 
-use super::GraphRow;
+use super::CallEdge;
 
 /// How far a call's deadline may lie from that of its run. Both are told in whole
 /// milliseconds and counted from the moment at which they are read, on one host.
@@ -37,7 +37,7 @@
 const ROUTES_LIMIT_COUNT: usize = 64;
 
 /// One run at the backend server.
-pub type RunNumber = u64;
+pub type RunId = u64;
 
 /// Which calls the runs of each route make, run by run.
 ///
@@ -52,9 +52,9 @@
 /// the minority the others stand for them; elsewhere nothing is known, and the fit counts.
 #[derive(Debug, Default)]
 pub struct CallTracer {
-    last_number: RunNumber,
-    under_way: HashMap<RunNumber, Run>,
-    by_deadline: BTreeMap<(Duration, RunNumber), ()>,
+    last_number: RunId,
+    under_way: HashMap<RunId, Run>,
+    by_deadline: BTreeMap<(Duration, RunId), ()>,
     routes: HashMap<String, RouteRuns>,
     /// By the route that is called.
     callees: HashMap<String, Callee>,
@@ -89,7 +89,7 @@
         route: &str,
         whole_priority: Priority,
         deadline: Duration,
-    ) -> RunNumber {
+    ) -> RunId {
         self.last_number += 1;
         let number = self.last_number;
         self.by_deadline.insert((deadline, number), ());
@@ -111,7 +111,7 @@
         run.map(|run| self.under_way[&run].whole_priority)
     }
 
-    fn count_call(&mut self, callee: &str, run: Option<RunNumber>) {
+    fn count_call(&mut self, callee: &str, run: Option<RunId>) {
         if !self.callees.contains_key(callee) && self.callees.len() >= ROUTES_LIMIT_COUNT {
             return;
         }
@@ -126,7 +126,7 @@
     }
 
     /// A run ended; `is_well` if it did all that it was asked for.
-    pub fn run_ended(&mut self, now: Duration, number: RunNumber, is_well: bool) {
+    pub fn run_ended(&mut self, now: Duration, number: RunId, is_well: bool) {
         let Some(run) = self.under_way.remove(&number) else {
             return;
         };
@@ -141,14 +141,14 @@
 
     /// What one run of a route calls, of the routes that are [told](Self::tells); `None` if
     /// that isn't known.
-    pub fn rows(&self, now: Duration, route: &str) -> Option<Vec<GraphRow>> {
+    pub fn rows(&self, now: Duration, route: &str) -> Option<Vec<CallEdge>> {
         let known = self.routes.get(route)?;
         let is_fresh = now < known.last_ended_well + LAPSE;
         if known.ended_well_count < RUNS_LEAST_COUNT || !is_fresh {
             return None;
         }
         let told = known.calls.iter().filter(|(callee, _)| self.tells(callee));
-        let rows = told.map(|(callee, calls_count)| GraphRow {
+        let rows = told.map(|(callee, calls_count)| CallEdge {
             route: callee.clone(),
             // Calls whose own time is shorter than that of their run lie at no deadline.
             calls_count: calls_count / self.callees[callee].matched_ratio,
@@ -167,11 +167,11 @@
     }
 
     /// The run whose deadline lies nearest to this one.
-    fn run_at(&self, deadline: Duration) -> Option<RunNumber> {
+    fn run_at(&self, deadline: Duration) -> Option<RunId> {
         let from = deadline.saturating_sub(TOLERANCE);
         let near = self
             .by_deadline
-            .range((from, 0)..=(deadline + TOLERANCE, RunNumber::MAX));
+            .range((from, 0)..=(deadline + TOLERANCE, RunId::MAX));
         let nearest = near.min_by_key(|((known, _), ())| known.abs_diff(deadline));
         nearest.map(|((_, number), ())| *number)
     }
--- a/crates/kumquatquay-core/src/routed/store_eras.rs
+++ b/crates/kumquatquay-core/src/routed/era_tracker.rs
@@ -22,7 +22,7 @@
 /// A store that tells no era costs nothing: all its answers count. One that begins to tell it may
 /// do so since it came back.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreEras {
+pub struct EraTracker {
     known: Option<StoreEra>,
     /// Whether the store answered without an era, before it told any.
     has_told_none: bool,
@@ -30,7 +30,7 @@
 
 /// What an era says of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EraNews {
+pub enum EraChange {
     /// Nothing new; the one of an answer that came late is no higher either.
     None,
     /// It is the first one that is known.
@@ -44,7 +44,7 @@
     Senseless,
 }
 
-impl StoreEras {
+impl EraTracker {
     /// The highest one that is known.
     pub fn known(&self) -> Option<StoreEra> {
         self.known
@@ -56,30 +56,30 @@
     }
 
     /// An answer of the store told it, or none.
-    pub fn seen(&mut self, era: Option<StoreEra>) -> EraNews {
+    pub fn seen(&mut self, era: Option<StoreEra>) -> EraChange {
         let Some(era) = era else {
             self.has_told_none |= self.known.is_none();
-            return EraNews::None;
+            return EraChange::None;
         };
         let before = self.known;
         if before.is_some_and(|before| era <= before) {
-            return EraNews::None;
+            return EraChange::None;
         }
         self.known = Some(era);
         if before.is_some() || self.has_told_none {
-            EraNews::Returned { before }
+            EraChange::Returned { before }
         } else {
-            EraNews::First
+            EraChange::First
         }
     }
 
     /// Another node, which knows of answers of the store, told it, or knows none.
-    pub fn told(&mut self, era: Option<StoreEra>) -> EraNews {
+    pub fn told(&mut self, era: Option<StoreEra>) -> EraChange {
         let most = self
             .known
             .map(|known| known.saturating_add(AHEAD_LIMIT_COUNT));
         match (era, most) {
-            (Some(era), Some(most)) if era > most => EraNews::Senseless,
+            (Some(era), Some(most)) if era > most => EraChange::Senseless,
             _ => self.seen(era),
         }
     }
--- a/crates/kumquatquay-core/src/routed/newest_proof.rs
+++ b/crates/kumquatquay-core/src/routed/freshness_proof.rs
@@ -4,7 +4,7 @@
 
 use kumquatquay_wire::routed::{RouteVersion, StoreEra};
 
-use super::store_eras::REWRITE_TIME;
+use super::era_tracker::REWRITE_TIME;
 
 /// Proof that a configuration was the newest at some moment.
 ///
@@ -27,7 +27,7 @@
 /// All times are of one clock that also counts while the host is suspended. They may be
 /// measured from any moment well before the node's start.
 #[derive(Debug, Default)]
-pub struct NewestProof {
+pub struct FreshnessProof {
     version: RouteVersion,
     /// Nothing newer than the version in force was confirmed before this.
     proven: Option<Duration>,
@@ -66,7 +66,7 @@
 
 /// What another node tells of its proof.
 #[derive(Clone, Copy, Debug)]
-pub struct ToldProof {
+pub struct PeerProof {
     /// When it was asked.
     pub asked: Duration,
     /// Configuration in force there.
@@ -77,7 +77,7 @@
     pub era: Option<StoreEra>,
 }
 
-impl NewestProof {
+impl FreshnessProof {
     /// A configuration is in force now; a lower version changes nothing.
     pub fn applied(&mut self, version: RouteVersion) {
         self.version = self.version.max(version);
@@ -137,7 +137,7 @@
     /// What makes no sense is passed over: a question from the future, a proof from before the
     /// clock began. So is a proof from the time in which the store is filled again, or of a node
     /// that lacks what the store lost: one that has just started doesn't know of the return.
-    pub fn told(&mut self, now: Duration, told: ToldProof) {
+    pub fn told(&mut self, now: Duration, told: PeerProof) {
         let Some(moment) = told.age.and_then(|age| told.asked.checked_sub(age)) else {
             return;
         };
--- a/crates/kumquatquay-core/src/routed/link_health.rs
+++ b/crates/kumquatquay-core/src/routed/link_health.rs
@@ -52,7 +52,7 @@
 
 /// What is to be done about a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkStep {
+pub enum LinkAction {
     /// Nothing.
     Keep,
     /// The peer is to be asked for a sign of life.
@@ -100,7 +100,7 @@
     }
 
     /// What is to be done now; `interval` is the time between two looks.
-    pub fn look(&mut self, now: Duration, interval: Duration, is_waited_for: bool) -> LinkStep {
+    pub fn look(&mut self, now: Duration, interval: Duration, is_waited_for: bool) -> LinkAction {
         let passed = now.saturating_sub(self.looked);
         self.looked = now;
         if !is_waited_for {
@@ -112,24 +112,24 @@
                 self.asked = Some(now);
             }
             return if is_quiet {
-                LinkStep::Ask
+                LinkAction::Ask
             } else {
-                LinkStep::Keep
+                LinkAction::Keep
             };
         };
         if passed > interval * LATE_LOOKS {
             // This node stood still, and the peer's answer waits to be read.
             self.asked = Some(asked + passed);
-            return LinkStep::Keep;
+            return LinkAction::Keep;
         }
         let patience = SILENT_LEAST.max(self.round_trip * SILENT_ROUND_TRIPS);
         self.is_silent |= now >= asked + patience;
         if now >= asked + GIVE_UP_TIME {
-            LinkStep::GiveUp
+            LinkAction::GiveUp
         } else if self.is_silent {
-            LinkStep::Avoid
+            LinkAction::Avoid
         } else {
-            LinkStep::Keep
+            LinkAction::Keep
         }
     }
 
--- a/crates/kumquatquay-core/src/routed/register_course.rs
+++ b/crates/kumquatquay-core/src/routed/register_bootstrap.rs
@@ -6,7 +6,7 @@
 
 /// Place of an entry in the order of the register, which has nothing to do with where hosts
 /// stand or when they came.
-pub type RegisterPlace = u32;
+pub type RegisterPosition = u32;
 
 /// Others on a page below which the next page is read too: a node whose entry is one of the
 /// last would know next to nobody.
@@ -32,10 +32,10 @@
 const ESTIMATE_LEAST_SHARE: f64 = 0.005;
 
 /// Where a node enters itself in the register: the same place in each of its lives.
-pub fn register_place(control: SocketAddr) -> RegisterPlace {
+pub fn register_position(control: SocketAddr) -> RegisterPosition {
     let hash = blake3::hash(control.to_string().as_bytes());
     let first = hash.as_bytes()[..4].try_into();
-    RegisterPlace::from_be_bytes(first.expect("a BLAKE3 hash has 32 bytes"))
+    RegisterPosition::from_be_bytes(first.expect("a BLAKE3 hash has 32 bytes"))
 }
 
 /// What a node does next about the register.
@@ -46,7 +46,7 @@
     /// It reads one page of entries, from this place on.
     Look {
         /// The first place on the page.
-        place: RegisterPlace,
+        place: RegisterPosition,
     },
     /// Nothing before this moment.
     Wait {
@@ -59,23 +59,23 @@
 
 /// A page of the register, as far as it matters here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RegisterLook {
+pub struct RegisterPageSummary {
     /// The first place that was asked for.
-    pub place: RegisterPlace,
+    pub place: RegisterPosition,
     /// Place of the last entry on it, where there is one.
-    pub last_place: Option<RegisterPlace>,
+    pub last_place: Option<RegisterPosition>,
     /// Other nodes on it.
     pub others_count: usize,
     /// Whether the register ends with it.
     pub is_last: bool,
 }
 
-impl RegisterLook {
+impl RegisterPageSummary {
     /// Nodes in the whole register, by how close to each other those on this page lie.
     pub fn estimate_count(&self) -> usize {
         let last_place = self.last_place.filter(|_| !self.is_last);
-        let to = last_place.unwrap_or(RegisterPlace::MAX);
-        let share = f64::from(to.saturating_sub(self.place)) / f64::from(RegisterPlace::MAX);
+        let to = last_place.unwrap_or(RegisterPosition::MAX);
+        let share = f64::from(to.saturating_sub(self.place)) / f64::from(RegisterPosition::MAX);
         let nodes_count = (self.others_count + 1) as f64;
         (nodes_count / share.max(ESTIMATE_LEAST_SHARE)) as usize
     }
@@ -99,8 +99,8 @@
 /// at 5,100 nodes all starts of a day, or one of all nodes, would take more than the store
 /// gives.
 #[derive(Debug)]
-pub struct RegisterCourse {
-    own: RegisterPlace,
+pub struct RegisterBootstrap {
+    own: RegisterPosition,
     random: StdRng,
     stage: Stage,
     next_at: Duration,
@@ -115,7 +115,7 @@
 enum Stage {
     Enter,
     Look {
-        place: RegisterPlace,
+        place: RegisterPosition,
     },
     /// Those that were found are introduced to.
     Introduced {
@@ -134,11 +134,11 @@
     Void,
 }
 
-impl RegisterCourse {
+impl RegisterBootstrap {
     /// A node that starts now; the seed is of its random times.
     pub fn new(now: Duration, control: SocketAddr, random_seed: u64) -> Self {
         Self {
-            own: register_place(control),
+            own: register_position(control),
             random: StdRng::seed_from_u64(random_seed),
             stage: Stage::Enter,
             next_at: now,
@@ -209,7 +209,7 @@
     /// A page was read, and those on it were introduced to.
     ///
     /// One that was asked for before the store's return says nothing of the register as it is now.
-    pub fn looked(&mut self, now: Duration, look: RegisterLook) {
+    pub fn looked(&mut self, now: Duration, look: RegisterPageSummary) {
         if !matches!(self.stage, Stage::Look { .. }) {
             return;
         }
--- a/crates/kumquatquay-core/src/routed/told_lives.rs
+++ b/crates/kumquatquay-core/src/routed/reported_lives.rs
@@ -16,7 +16,7 @@
 /// the same life, and what it told holds on. A node that has just started may not know yet when
 /// the life of its backend server began: then the id alone tells it.
 #[derive(Debug, Default)]
-pub(super) struct ToldLives {
+pub(super) struct ReportedLives {
     lives: HashMap<InstanceId, Told>,
 }
 
@@ -29,7 +29,7 @@
     is_leaving: bool,
 }
 
-impl ToldLives {
+impl ReportedLives {
     /// Takes in the limit that came with an answer of a life, or that there is none.
     pub(super) fn on_limit(&mut self, now: Duration, life: &BackendLife, rate: Option<RateReport>) {
         if rate.is_none() && self.get(life).is_none() {
--- a/crates/kumquatquay-core/src/routed/request_row.rs
+++ b/crates/kumquatquay-core/src/routed/request_pipeline.rs
@@ -4,7 +4,7 @@
 
 /// What a connection may have under way behind the request that is answered next.
 #[derive(Clone, Copy, Debug)]
-pub struct RowLimits {
+pub struct PipelineLimits {
     /// Requests that were started and are not answered.
     pub started_count: usize,
     /// Bytes of answers that wait for their turn.
@@ -13,7 +13,7 @@
 
 /// What decides whether a request may run beside others of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RowRequest {
+pub struct PipelinedRequest {
     /// Whether it may run again.
     pub is_idempotent: bool,
     /// Whether the connection may end with its answer, so that nothing behind it counts as
@@ -21,7 +21,7 @@
     pub ends_row: bool,
 }
 
-impl RowRequest {
+impl PipelinedRequest {
     fn lets_others_run(self) -> bool {
         self.is_idempotent && !self.ends_row
     }
@@ -35,10 +35,10 @@
 /// alone, since a caller must be able to tell what was before it; nothing is started behind
 /// one whose answer may end the connection, since callers send again what is behind that.
 #[derive(Debug)]
-pub struct RequestRow<T> {
-    limits: RowLimits,
+pub struct RequestPipeline<T> {
+    limits: PipelineLimits,
     /// The request that is answered next, once the server has reached it.
-    answering: Option<RowRequest>,
+    answering: Option<PipelinedRequest>,
     /// Those behind it that were started, in their order.
     started: VecDeque<Started<T>>,
     /// Whether the one behind the last that was started waits for its turn.
@@ -49,13 +49,13 @@
 
 #[derive(Debug)]
 struct Started<T> {
-    request: RowRequest,
+    request: PipelinedRequest,
     ticket: T,
 }
 
-impl<T> RequestRow<T> {
+impl<T> RequestPipeline<T> {
     /// A connection without requests.
-    pub fn new(limits: RowLimits) -> Self {
+    pub fn new(limits: PipelineLimits) -> Self {
         Self {
             limits,
             answering: None,
@@ -70,7 +70,7 @@
     pub fn has_room(&self, held_bytes: usize) -> bool {
         let last = self.started.back().map(|started| started.request);
         let last = last.or(self.answering);
-        last.is_some_and(RowRequest::lets_others_run)
+        last.is_some_and(PipelinedRequest::lets_others_run)
             && !self.is_held
             && !self.is_closed
             && self.started.len() < self.limits.started_count
@@ -79,13 +79,13 @@
 
     /// Whether the request that was looked at may be started now; if not it waits for its
     /// turn, and all behind it with it.
-    pub fn may_start(&mut self, request: RowRequest) -> bool {
+    pub fn may_start(&mut self, request: PipelinedRequest) -> bool {
         self.is_held |= !request.is_idempotent;
         !self.is_held && !self.is_closed
     }
 
     /// It was started; `ticket` brings its answer.
-    pub fn start(&mut self, request: RowRequest, ticket: T) {
+    pub fn start(&mut self, request: PipelinedRequest, ticket: T) {
         self.started.push_back(Started { request, ticket });
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// The server has reached the next request, which was not started.
-    pub fn reach(&mut self, request: RowRequest) {
+    pub fn reach(&mut self, request: PipelinedRequest) {
         self.answering = Some(request);
         self.is_held = false;
     }
--- a/crates/kumquatquay-core/src/routed/return_time.rs
+++ b/crates/kumquatquay-core/src/routed/retry_after.rs
@@ -22,7 +22,7 @@
 
 /// What is known of a refused caller.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnTime {
+pub struct RetryAfter {
     /// Time within which its answer is worth most.
     pub target_latency: Duration,
     /// Time for which it goes on waiting, if it has said so.
@@ -33,7 +33,7 @@
     pub room_in: Option<Duration>,
 }
 
-impl ReturnTime {
+impl RetryAfter {
     /// For a caller that wasn't refused for a shortage of which more is known.
     pub fn soon(target_latency: Duration) -> Self {
         Self {
--- a/crates/kumquatquay-core/src/routed/caller_census.rs
+++ b/crates/kumquatquay-core/src/routed/route_callers.rs
@@ -32,19 +32,19 @@
 /// From the hosts of which services each route is called, as the gate of its
 /// service sees it.
 #[derive(Debug, Default)]
-pub struct CallerCensus {
+pub struct RouteCallers {
     own_service: Option<ServiceName>,
-    routes: HashMap<String, RouteCallers>,
+    routes: HashMap<String, Callers>,
 }
 
 #[derive(Debug, Default)]
-struct RouteCallers {
+struct Callers {
     calls_count: u32,
     /// When hosts of each service called last.
     services: BTreeMap<ServiceName, Duration>,
 }
 
-impl CallerCensus {
+impl RouteCallers {
     /// A census at a gate of this service.
     pub fn at(service: impl Into<ServiceName>) -> Self {
         Self {
@@ -59,8 +59,7 @@
             if self.routes.len() >= ROUTES_LIMIT_COUNT {
                 return;
             }
-            self.routes
-                .insert(String::from(route), RouteCallers::default());
+            self.routes.insert(String::from(route), Callers::default());
         }
         let Some(callers) = self.routes.get_mut(route) else {
             return;
--- a/crates/kumquatquay-core/src/routed/route_table.rs
+++ b/crates/kumquatquay-core/src/routed/route_table.rs
@@ -20,7 +20,7 @@
 pub struct RouteTable {
     version: RouteVersion,
     limits: CallerLimits,
-    hosts: HashMap<String, HashMap<String, Arc<TableRoute>>>,
+    hosts: HashMap<String, HashMap<String, Arc<RouteEntry>>>,
     priorities: BTreeMap<String, Priority>,
     services: BTreeSet<ServiceName>,
     health_paths: BTreeMap<ServiceName, String>,
@@ -29,7 +29,7 @@
 
 /// A route and how its calls are split among services.
 #[derive(Debug)]
-pub struct TableRoute {
+pub struct RouteEntry {
     /// What operators set.
     pub settings: RouteSettings,
     /// Shares of its destinations.
@@ -59,7 +59,7 @@
             let routes = host.routes.into_iter().map(|settings| {
                 let split = Split::new(&settings.destinations, phase);
                 let prefix = settings.path_prefix.clone();
-                (prefix, Arc::new(TableRoute { settings, split }))
+                (prefix, Arc::new(RouteEntry { settings, split }))
             });
             (host.host.to_ascii_lowercase(), routes.collect())
         });
@@ -110,7 +110,7 @@
     /// `host` may carry a port. Prefixes end with a slash, so only the parts of the
     /// path up to a slash are looked up: a path of seven parts costs seven lookups,
     /// however many routes there are.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<TableRoute>> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let name = host.split_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.hosts.get(name) {
             Some(routes) => routes,
--- a/crates/kumquatquay-core/src/routed/store_follower.rs
+++ b/crates/kumquatquay-core/src/routed/store_poller.rs
@@ -5,7 +5,7 @@
 use kumquatquay_wire::routed::StoreEra;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use super::{EraNews, StoreEras, StoreReaders, store_eras::REWRITE_TIME};
+use super::{EraChange, EraTracker, StoreReaders, era_tracker::REWRITE_TIME};
 
 /// Longest time for which the store may hold a read, for each node that reads, and its
 /// bounds. Holds are drawn with a mean of a third of it, so that all readers together end four
@@ -100,7 +100,7 @@
 /// each read, for the moment at which the read began. So holds are short then, and a node whose
 /// proof grows old asks another node, then the store.
 #[derive(Debug)]
-pub struct StoreFollower {
+pub struct StorePoller {
     random: StdRng,
     /// When another read begins, whatever is under way.
     next_at: Duration,
@@ -116,7 +116,7 @@
     after_news: Duration,
     /// When the store answered this node last.
     answered: Duration,
-    eras: StoreEras,
+    eras: EraTracker,
     /// Whether the store came back from a copy and this node hasn't read since.
     has_returned: bool,
     /// Answers of the store in its era that are known of, and when another node told of a new one.
@@ -139,7 +139,7 @@
 
 /// The fleet as far as a node knows it.
 #[derive(Clone, Copy, Debug)]
-pub struct FollowerFleet {
+pub struct PollerFleet {
     /// Nodes, this one included.
     pub nodes_count: usize,
     /// Those that read the store for all.
@@ -148,7 +148,7 @@
 
 /// What a node does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FollowStep {
+pub enum PollStep {
     /// Begins a read, which the store may hold for that long.
     Read {
         /// Zero if the store answers at once.
@@ -163,7 +163,7 @@
     },
 }
 
-impl StoreFollower {
+impl StorePoller {
     /// A node that starts now; the seed is of its random times.
     pub fn new(now: Duration, random_seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(random_seed);
@@ -179,7 +179,7 @@
             is_turned_away: false,
             after_news: AFTER_NEWS_LEAST,
             answered: now,
-            eras: StoreEras::default(),
+            eras: EraTracker::default(),
             has_returned: false,
             answers_count: 0,
             told: now,
@@ -200,19 +200,19 @@
     }
 
     /// What is to be done now.
-    pub fn step(&mut self, now: Duration, fleet: FollowerFleet) -> FollowStep {
+    pub fn step(&mut self, now: Duration, fleet: PollerFleet) -> PollStep {
         if std::mem::take(&mut self.has_returned) && fleet.readers.is_reader {
             self.want(now, fleet.nodes_count);
         }
         if self.wanted_at.is_some_and(|wanted_at| now >= wanted_at) {
             self.wanted_at = None;
             self.wanted_last = Some(now);
-            return FollowStep::Read {
+            return PollStep::Read {
                 hold: Duration::ZERO,
             };
         }
         if fleet.readers.is_reader && self.rewritten_at.take_if(|at| now >= *at).is_some() {
-            return FollowStep::Read {
+            return PollStep::Read {
                 hold: Duration::ZERO,
             };
         }
@@ -229,13 +229,13 @@
         if now < due {
             let rewritten_at = self.rewritten_at.filter(|_| fleet.readers.is_reader);
             let others = self.wanted_at.into_iter().chain(rewritten_at);
-            return FollowStep::Wait {
+            return PollStep::Wait {
                 until: others.fold(due, Duration::min),
             };
         }
         let is_waiting = !self.is_ailing && !self.is_under_way;
         if !fleet.readers.is_reader && is_waiting && self.asks(now, nodes_count) {
-            return FollowStep::AskReader;
+            return PollStep::AskReader;
         }
         // A read under way is overdue.
         self.is_ailing |= self.is_under_way;
@@ -255,7 +255,7 @@
                 nodes_count
             };
             self.next_at = now + self.retry_pause(asking_count) * factor;
-            return FollowStep::Read {
+            return PollStep::Read {
                 hold: Duration::ZERO,
             };
         }
@@ -271,7 +271,7 @@
             Duration::ZERO
         };
         self.next_at = now + hold + PATIENCE;
-        FollowStep::Read { hold }
+        PollStep::Read { hold }
     }
 
     /// Whether a reader is asked before this node reads for itself, and when that is.
@@ -367,7 +367,7 @@
     }
 
     /// An answer of the store told its era, whatever else it was.
-    pub fn era_seen(&mut self, now: Duration, era: Option<StoreEra>) -> EraNews {
+    pub fn era_seen(&mut self, now: Duration, era: Option<StoreEra>) -> EraChange {
         let news = self.eras.seen(era);
         self.begin_era(now, news);
         news
@@ -376,11 +376,11 @@
     /// Another node knows of so many answers of the store in an era.
     ///
     /// Those of an era that is over are no word of the store as it is now.
-    pub fn told(&mut self, now: Duration, era: Option<StoreEra>, answers_count: u64) -> EraNews {
+    pub fn told(&mut self, now: Duration, era: Option<StoreEra>, answers_count: u64) -> EraChange {
         let news = if era.is_some() || answers_count > 0 {
             self.eras.told(era)
         } else {
-            EraNews::None
+            EraChange::None
         };
         self.begin_era(now, news);
         if era == self.eras.known() && answers_count > self.answers_count {
@@ -395,8 +395,8 @@
         news
     }
 
-    fn begin_era(&mut self, now: Duration, news: EraNews) {
-        if let EraNews::Returned { .. } = news {
+    fn begin_era(&mut self, now: Duration, news: EraChange) {
+        if let EraChange::Returned { .. } = news {
             self.answers_count = 0;
             self.has_returned = true;
             if self.proof_bound.is_some() {
--- a/crates/kumquatquay-core/src/routed/target_table.rs
+++ b/crates/kumquatquay-core/src/routed/target_table.rs
@@ -12,7 +12,9 @@
 };
 use rand::{Rng, seq::IndexedRandom};
 
-use super::{LineChange, Mechanism, Mechanisms, out_of_line::OutOfLine, told_lives::ToldLives};
+use super::{
+    LineChange, Mechanism, Mechanisms, out_of_line::OutOfLine, reported_lives::ReportedLives,
+};
 
 /// How long a gate's report counts; after that only this node's own calls do.
 const REPORT_LAPSE: Duration = Duration::from_secs(1);
@@ -151,7 +153,7 @@
     /// Backend servers that fail more than their peers, by service.
     out_of_line: HashMap<ServiceName, OutOfLine>,
     line_changes: Vec<LineChange>,
-    told_lives: ToldLives,
+    told_lives: ReportedLives,
 }
 
 impl TargetTable {
@@ -437,7 +439,7 @@
         record: &MemberRecord,
         service: &str,
         own_data_centre: &str,
-        told_lives: &ToldLives,
+        told_lives: &ReportedLives,
     ) -> Self {
         let life = record.life.as_ref();
         Self {
--- a/crates/kumquatquay-core/tests/quota/exploration.rs
+++ b/crates/kumquatquay-core/tests/quota/exploration.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Keepers ask all others for loans, also those that they don't reach.
+    /// Borrowers ask all others for loans, also those that they don't reach.
     fn ask(&mut self, now_ms: u64) {
         let nodes_count = self.hosts.len();
         let asked = at_ms(now_ms);
--- a/crates/kumquatquay-core/tests/quota/keepers.rs
+++ b/crates/kumquatquay-core/tests/quota/keepers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use kumquatquay_core::quota::Keepers;
+use kumquatquay_core::quota::Borrowers;
 use kumquatquay_wire::{
     MemberRecord, MemberState,
     routed::{HALVES_COUNT, SLICES_COUNT, SliceSets},
@@ -42,7 +42,7 @@
 fn each_slice_of_each_half_has_one_keeper_in_one_view() {
     for nodes_count in [1, 2, 6, 78, 300, 5_100] {
         let fleet = fleet(nodes_count);
-        let keepers = Keepers::among("hall-a", fleet.iter());
+        let keepers = Borrowers::among("hall-a", fleet.iter());
         for half in 0..HALVES_COUNT {
             for slice in 0..SLICES_COUNT {
                 let kept = fleet.iter().filter(|member| {
@@ -60,8 +60,8 @@
 #[test]
 fn the_first_half_is_kept_near_and_the_second_together() {
     let fleet = fleet(78);
-    let in_a = Keepers::among("hall-a", fleet.iter());
-    let in_b = Keepers::among("hall-b", fleet.iter());
+    let in_a = Borrowers::among("hall-a", fleet.iter());
+    let in_b = Borrowers::among("hall-b", fleet.iter());
     assert_ne!(in_a.keeper(0, 3), in_b.keeper(0, 3));
     assert_eq!(in_a.keeper(1, 3), in_b.keeper(1, 3));
 }
@@ -70,7 +70,7 @@
 #[test]
 fn in_a_large_fleet_all_is_kept_near() {
     let fleet = fleet(5_100);
-    let in_a = Keepers::among("hall-a", fleet.iter());
+    let in_a = Borrowers::among("hall-a", fleet.iter());
     let kept = fleet.iter().filter(|member| {
         let kept = in_a.kept_by(member.control);
         !kept.is_empty() && member.data_centre != "hall-a"
@@ -81,17 +81,19 @@
 #[test]
 fn a_keeper_that_is_gone_is_none() {
     let mut fleet = fleet(6);
-    let first = Keepers::among("hall-a", fleet.iter()).keeper(0, 0).unwrap();
+    let first = Borrowers::among("hall-a", fleet.iter())
+        .keeper(0, 0)
+        .unwrap();
     let gone = fleet.iter_mut().find(|member| member.peer == first);
     gone.unwrap().state = MemberState::Gone;
-    let second = Keepers::among("hall-a", fleet.iter()).keeper(0, 0);
+    let second = Borrowers::among("hall-a", fleet.iter()).keeper(0, 0);
     assert!(second.is_some_and(|second| second != first));
 }
 
 #[test]
 fn nodes_that_are_far_are_asked_for_the_second_half_alone() {
-    assert_eq!(Keepers::asked_of(SliceSets::ALL, true), SliceSets::ALL);
-    let far = Keepers::asked_of(SliceSets::ALL, false);
+    assert_eq!(Borrowers::asked_of(SliceSets::ALL, true), SliceSets::ALL);
+    let far = Borrowers::asked_of(SliceSets::ALL, false);
     assert_eq!(far, SliceSets::ALL.of_half(1));
 }
 
@@ -100,7 +102,7 @@
 #[test]
 fn ranks_follow_each_change_of_the_members_and_nothing_else() {
     let mut fleet = fleet(300);
-    let mut keepers = Keepers::default();
+    let mut keepers = Borrowers::default();
     assert!(keepers.refresh("hall-a", fleet.iter()));
     assert!(!keepers.refresh("hall-a", fleet.iter()));
     for number in (0..fleet.len()).step_by(23) {
@@ -113,7 +115,11 @@
         for change in changes {
             change(&mut fleet[number]);
             keepers.refresh("hall-a", fleet.iter());
-            assert_eq!(keepers, Keepers::among("hall-a", fleet.iter()), "{number}");
+            assert_eq!(
+                keepers,
+                Borrowers::among("hall-a", fleet.iter()),
+                "{number}"
+            );
         }
         fleet[number].state = MemberState::Serving;
     }
--- a/crates/kumquatquay-core/tests/quota/lender.rs
+++ b/crates/kumquatquay-core/tests/quota/lender.rs
@@ -1,6 +1,6 @@
 //! What is lent, and to whom.
 
-use kumquatquay_core::quota::{LOAN_TIME, Lender};
+use kumquatquay_core::quota::{LOAN_DURATION, Lender};
 use kumquatquay_wire::routed::SliceSets;
 
 use crate::{at_ms, node};
@@ -28,9 +28,9 @@
         lender.lend(renewed, node(1), SliceSets::ALL),
         SliceSets::ALL
     );
-    let before = renewed + LOAN_TIME - at_ms(1);
+    let before = renewed + LOAN_DURATION - at_ms(1);
     assert!(lender.lend(before, node(2), SliceSets::ALL).is_empty());
-    let after = renewed + LOAN_TIME;
+    let after = renewed + LOAN_DURATION;
     assert_eq!(lender.lend(after, node(2), SliceSets::ALL), SliceSets::ALL);
 }
 
@@ -39,10 +39,10 @@
 #[test]
 fn a_node_that_starts_lends_nothing_for_the_time_of_a_loan() {
     let mut lender = lender();
-    let before = LOAN_TIME - at_ms(1);
+    let before = LOAN_DURATION - at_ms(1);
     assert!(lender.lend(before, node(1), SliceSets::ALL).is_empty());
     assert!(lender.kept(before).is_empty());
-    assert_eq!(lender.kept(LOAN_TIME), SliceSets::ALL);
+    assert_eq!(lender.kept(LOAN_DURATION), SliceSets::ALL);
 }
 
 #[test]
--- a/crates/kumquatquay-core/tests/quota/limit.rs
+++ b/crates/kumquatquay-core/tests/quota/limit.rs
@@ -1,6 +1,6 @@
 //! What a quota lets in.
 
-use kumquatquay_core::quota::{QuotaLimit, QuotaSlack};
+use kumquatquay_core::quota::{QuotaLimit, QuotaTolerance};
 use kumquatquay_wire::routed::Quota;
 use quickcheck::quickcheck;
 
@@ -31,7 +31,7 @@
             rate_per_s: f64::from(rate),
             burst_count: f64::from(burst),
         };
-        let slack = QuotaSlack {
+        let slack = QuotaTolerance {
             overage_ratio: 0.1,
             extra_count: f64::from(extra) + 2.0,
         };
--- a/crates/kumquatquay-core/tests/quota/pool.rs
+++ b/crates/kumquatquay-core/tests/quota/pool.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::quota::{LOAN_TIME, Loan, QuotaPool};
+use kumquatquay_core::quota::{LOAN_DURATION, Loan, QuotaPool};
 use kumquatquay_wire::routed::SliceSets;
 
 use crate::{LIMIT, at_ms, node};
@@ -66,7 +66,7 @@
 fn tokens_are_gone_when_the_loans_are_over() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 3_000);
-    assert_eq!(take_all(&mut pool, at_ms(3_000) + LOAN_TIME), 0);
+    assert_eq!(take_all(&mut pool, at_ms(3_000) + LOAN_DURATION), 0);
 }
 
 /// The answer to a question lay in a link that was cut. The lender has counted the time of the
@@ -79,7 +79,7 @@
         asked: at_ms(0),
         nodes_count: 1,
     };
-    let late = LOAN_TIME + at_ms(1);
+    let late = LOAN_DURATION + at_ms(1);
     pool.lent(late, node(1), loan);
     assert_eq!(take_all(&mut pool, late + at_ms(500)), 0);
 }
--- a/crates/kumquatquay-core/tests/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_lives.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{BackendLives, LifeReport, LifeState, ReportRefusal};
+use kumquatquay_core::routed::{BackendLives, LifeReport, LifeState, ReportError};
 use kumquatquay_wire::BackendLife;
 
 use crate::at_ms;
@@ -217,7 +217,7 @@
     let other = report("x", 1, LifeState::Serving);
     assert_eq!(
         lives.on_report(at_ms(100), other),
-        Err(ReportRefusal::StartUntold)
+        Err(ReportError::StartUntold)
     );
     assert_eq!(current(&lives), Some("a"));
 }
--- a/crates/kumquatquay-core/tests/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/tests/routed/call_tracer.rs
@@ -1,6 +1,6 @@
 //! Which runs made which calls, by the deadlines that they share.
 
-use kumquatquay_core::routed::{CallTracer, GraphRow};
+use kumquatquay_core::routed::{CallEdge, CallTracer};
 
 use crate::at_ms;
 
@@ -13,7 +13,7 @@
     tracer.run_ended(at_ms(at + 50), number, is_well);
 }
 
-fn calls_count(rows: &[GraphRow], callee: &str) -> f64 {
+fn calls_count(rows: &[CallEdge], callee: &str) -> f64 {
     let row = rows.iter().find(|row| row.route == callee);
     row.map_or(0.0, |row| row.calls_count)
 }
--- a/crates/kumquatquay-core/tests/routed/caller_census.rs
+++ b/crates/kumquatquay-core/tests/routed/caller_census.rs
@@ -1,13 +1,13 @@
 //! Which routes people use, and which backend servers call.
 
-use kumquatquay_core::routed::CallerCensus;
+use kumquatquay_core::routed::RouteCallers;
 
 use crate::at_ms;
 
 const SERVICES: [&str; 4] = ["archive", "settlement", "survey", "register"];
 
-fn census(route: &str, callers: &[&str]) -> CallerCensus {
-    let mut census = CallerCensus::default();
+fn census(route: &str, callers: &[&str]) -> RouteCallers {
+    let mut census = RouteCallers::default();
     for caller in callers {
         census.called(at_ms(0), route, caller);
     }
@@ -47,7 +47,7 @@
 /// route, none is refused for want of room, and nearly all are lost on the way.
 #[test]
 fn the_first_calls_of_a_route_of_people_show_it() {
-    let mut census = CallerCensus::at("archive");
+    let mut census = RouteCallers::at("archive");
     for caller in ["settlement", "archive", "archive", "settlement"] {
         census.called(at_ms(0), "history", caller);
     }
@@ -58,7 +58,7 @@
 /// were let in.
 #[test]
 fn the_first_calls_of_two_other_services_are_not_of_people() {
-    let mut census = CallerCensus::at("register");
+    let mut census = RouteCallers::at("register");
     for caller in ["settlement", "archive", "archive", "settlement"] {
         census.called(at_ms(0), "lookup", caller);
     }
@@ -69,7 +69,7 @@
 /// nobody else calls: they are not of people.
 #[test]
 fn a_service_that_calls_itself_is_found_out() {
-    let mut census = CallerCensus::at("archive");
+    let mut census = RouteCallers::at("archive");
     for call in 0..100 {
         let caller = if call % 2 == 0 { "archive" } else { "survey" };
         census.called(at_ms(0), "part", caller);
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use kumquatquay_core::routed::{
-    EntryLine, EntryQueue, HoldOffer, HoldOutcome, HoldRequest, Released, ReturnTime,
+    EntryLine, EntryQueue, HoldOffer, HoldOutcome, HoldRequest, Released, RetryAfter,
 };
 use quickcheck::{TestResult, quickcheck};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -373,7 +373,7 @@
             self.seen.refused += 1.0;
             return;
         }
-        let returns = ReturnTime {
+        let returns = RetryAfter {
             target_latency: TARGET,
             time_left: Some((sent.at + 2 * TARGET).saturating_sub(now)),
             short_for: Duration::ZERO,
--- a/crates/kumquatquay-core/tests/routed/newest_proof.rs
+++ b/crates/kumquatquay-core/tests/routed/newest_proof.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{NewestProof, ToldProof};
+use kumquatquay_core::routed::{FreshnessProof, PeerProof};
 use kumquatquay_wire::routed::StoreEra;
 
 use crate::at_ms;
@@ -14,8 +14,8 @@
     at_ms(START_MS + ms)
 }
 
-fn told(asked: Duration, version: u64, age: Option<Duration>) -> ToldProof {
-    ToldProof {
+fn told(asked: Duration, version: u64, age: Option<Duration>) -> PeerProof {
+    PeerProof {
         asked,
         version,
         age,
@@ -23,13 +23,13 @@
     }
 }
 
-fn age_ms(proof: &NewestProof, now_ms: u64) -> Option<u128> {
+fn age_ms(proof: &FreshnessProof, now_ms: u64) -> Option<u128> {
     proof.age(at(now_ms)).map(|age| age.as_millis())
 }
 
 #[test]
 fn without_a_read_nothing_is_proved() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     assert_eq!(age_ms(&proof, 100), None);
 }
@@ -38,7 +38,7 @@
 /// connection that it was written to. The answer says what was true when the read was sent.
 #[test]
 fn a_read_proves_what_was_true_when_it_was_sent() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.read(at(100), None);
     assert_eq!(age_ms(&proof, 1_200), Some(1_100));
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_peers_age_counts_from_the_question() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.told(at(900), told(at(500), 7, Some(at_ms(300))));
     assert_eq!(age_ms(&proof, 1_000), Some(800));
@@ -56,7 +56,7 @@
 /// lay in the connection all the while.
 #[test]
 fn an_answer_that_lay_about_is_as_old_as_its_question() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.told(at(60_500), told(at(500), 7, Some(at_ms(0))));
     assert_eq!(age_ms(&proof, 60_500), Some(60_000));
@@ -66,7 +66,7 @@
 /// its last read is, and asked again it tells the same moment.
 #[test]
 fn a_reader_that_is_cut_off_makes_nobody_younger() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     for asked_ms in (1_000..9_000).step_by(500) {
         let reader_age = at_ms(asked_ms);
@@ -78,7 +78,7 @@
 /// Two nodes that are cut off from all others ask each other for ever.
 #[test]
 fn two_nodes_do_not_keep_each_other_young() {
-    let mut nodes = [NewestProof::default(), NewestProof::default()];
+    let mut nodes = [FreshnessProof::default(), FreshnessProof::default()];
     for node in &mut nodes {
         node.applied(7);
     }
@@ -94,7 +94,7 @@
 /// A peer has a newer configuration, in which a key is taken away, and vouches for that one.
 #[test]
 fn a_proof_of_a_newer_configuration_counts_once_that_is_in_force() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.read(at(100), None);
     proof.told(at(900), told(at(800), 8, Some(at_ms(50))));
@@ -105,7 +105,7 @@
 
 #[test]
 fn proofs_that_come_out_of_order_change_nothing() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.read(at(700), None);
     proof.read(at(100), None);
@@ -116,7 +116,7 @@
 /// Bytes of a broken peer: a question that will be asked tomorrow, a proof from before time began.
 #[test]
 fn senseless_ages_are_passed_over() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.told(at(100), told(at(86_400_000), 7, Some(at_ms(0))));
     proof.told(at(100), told(at(50), 7, Some(Duration::MAX)));
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_moment_is_covered_from_the_proof_on() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.read(at(700), None);
     assert!(proof.covers(at(700)) && !proof.covers(at(701)));
@@ -136,8 +136,8 @@
 const NEW: Option<StoreEra> = Some(5);
 
 /// A node that has version 8 in force; the store came back without it at 1 s.
-fn returned() -> NewestProof {
-    let mut proof = NewestProof::default();
+fn returned() -> FreshnessProof {
+    let mut proof = FreshnessProof::default();
     proof.applied(8);
     proof.read(at(800), OLD);
     proof.returned(at(1_000), 5);
@@ -148,7 +148,7 @@
 /// that only has version 7 reads at once and finds nothing newer.
 #[test]
 fn a_read_right_after_a_return_proves_nothing() {
-    let mut proof = NewestProof::default();
+    let mut proof = FreshnessProof::default();
     proof.applied(7);
     proof.read(at(800), OLD);
     proof.returned(at(1_000), 5);
@@ -188,7 +188,7 @@
         #[test]
         fn $name() {
             let mut proof = returned();
-            let answer = ToldProof {
+            let answer = PeerProof {
                 era: $era,
                 ..told(at($moment_ms), $version, Some(at_ms(0)))
             };
--- a/crates/kumquatquay-core/tests/routed/proof_fleet.rs
+++ b/crates/kumquatquay-core/tests/routed/proof_fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use kumquatquay_core::routed::{
-    FollowStep, FollowerFleet, NewestProof, StoreFollower, StoreReaders, ToldProof,
+    FreshnessProof, PeerProof, PollStep, PollerFleet, StorePoller, StoreReaders,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -50,8 +50,8 @@
 const READERS_COUNT: usize = 6;
 
 struct Node {
-    follower: StoreFollower,
-    proof: NewestProof,
+    follower: StorePoller,
+    proof: FreshnessProof,
     /// Reads under way: when they began and how long the store may hold them.
     reads: Vec<(u64, u64)>,
     waits_until: Duration,
@@ -84,8 +84,8 @@
         self.is_suspended && self.is_on(now_ms) && place + 1 == self.nodes_count
     }
 
-    fn fleet(&self, place: usize) -> FollowerFleet {
-        FollowerFleet {
+    fn fleet(&self, place: usize) -> PollerFleet {
+        PollerFleet {
             nodes_count: self.nodes_count,
             readers: StoreReaders {
                 is_reader: place < READERS_COUNT,
@@ -102,8 +102,8 @@
     let mut outcome = Outcome::default();
     let mut nodes: Vec<Node> = (0..scene.nodes_count)
         .map(|_| Node {
-            follower: StoreFollower::new(Duration::ZERO, random.random()).proof_within(BOUND),
-            proof: NewestProof::default(),
+            follower: StorePoller::new(Duration::ZERO, random.random()).proof_within(BOUND),
+            proof: FreshnessProof::default(),
             reads: Vec::new(),
             waits_until: Duration::ZERO,
             reads_count: 0,
@@ -173,9 +173,9 @@
     let mut asks = false;
     while node.waits_until <= at_ms(now_ms) {
         match node.follower.step(at_ms(now_ms), scene.fleet(place)) {
-            FollowStep::Wait { until } => node.waits_until = until,
-            FollowStep::AskReader => asks = true,
-            FollowStep::Read { hold } => {
+            PollStep::Wait { until } => node.waits_until = until,
+            PollStep::AskReader => asks = true,
+            PollStep::Read { hold } => {
                 asks |= node.follower.is_proof_due(at_ms(now_ms));
                 node.reads_count += 1;
                 node.reads.push((now_ms, hold.as_millis() as u64));
@@ -195,7 +195,7 @@
     let asked = moment(now_ms.saturating_sub(ANSWER_MS));
     let node = &mut nodes[place];
     node.follower.told(at_ms(now_ms), None, count);
-    let answer = ToldProof {
+    let answer = PeerProof {
         asked,
         version: 0,
         age,
@@ -299,7 +299,7 @@
 /// four times a second, and the reads in turn go on.
 #[test]
 fn a_flood_of_unknown_keys_is_no_flood_of_reads() {
-    let mut follower = StoreFollower::new(Duration::ZERO, 1);
+    let mut follower = StorePoller::new(Duration::ZERO, 1);
     let mut out_of_turn_count = 0;
     let mut held_until = None;
     let fleet = CALM.fleet(0);
@@ -313,13 +313,13 @@
             follower.answered(now, false);
         }
         match follower.step(now, fleet) {
-            FollowStep::Read { hold } if hold.is_zero() => {
+            PollStep::Read { hold } if hold.is_zero() => {
                 out_of_turn_count += 1;
                 held_until = None;
                 follower.answered(now, false);
             }
-            FollowStep::Read { hold } => held_until = Some(now + hold),
-            FollowStep::AskReader | FollowStep::Wait { .. } => {}
+            PollStep::Read { hold } => held_until = Some(now + hold),
+            PollStep::AskReader | PollStep::Wait { .. } => {}
         }
     }
     assert!(out_of_turn_count <= 4 * 10 + 1, "{out_of_turn_count}");
--- a/crates/kumquatquay-core/tests/routed/register_course.rs
+++ b/crates/kumquatquay-core/tests/routed/register_course.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use kumquatquay_core::routed::{
-    RegisterCourse, RegisterLook, RegisterPlace, RegisterStep, register_place,
+    RegisterBootstrap, RegisterPageSummary, RegisterPosition, RegisterStep, register_position,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -37,7 +37,7 @@
 }
 
 struct Host {
-    course: RegisterCourse,
+    course: RegisterBootstrap,
     call: Option<Call>,
     wakes: Duration,
     /// When it learns of a return of the store.
@@ -55,7 +55,7 @@
 /// Hosts that start together, and the register in the store.
 struct Fleet {
     hosts: Vec<Host>,
-    register: BTreeMap<(RegisterPlace, SocketAddr), usize>,
+    register: BTreeMap<(RegisterPosition, SocketAddr), usize>,
     /// Who was introduced to whom; both know each other then.
     joined: Vec<usize>,
     peers_counts: Vec<usize>,
@@ -64,7 +64,7 @@
     calls: Vec<Duration>,
     /// Returns of the store to come, and the copies that were made.
     returns: Vec<Return>,
-    copies: BTreeMap<Duration, BTreeMap<(RegisterPlace, SocketAddr), usize>>,
+    copies: BTreeMap<Duration, BTreeMap<(RegisterPosition, SocketAddr), usize>>,
     /// One call of so many gets no answer, and is done all the same.
     lost_one_of: Option<u32>,
     random: StdRng,
@@ -76,7 +76,7 @@
         let hosts = (0..hosts_count).map(|host| {
             let starts = at_ms(random.random_range(0..STARTS_MS));
             Host {
-                course: RegisterCourse::new(starts, address(host), seed * 10_000 + host as u64),
+                course: RegisterBootstrap::new(starts, address(host), seed * 10_000 + host as u64),
                 call: None,
                 wakes: starts,
                 learns: None,
@@ -168,7 +168,7 @@
 
     fn end_call(&mut self, now: Duration, host: usize, step: RegisterStep) {
         if step == RegisterStep::Enter {
-            let key = (register_place(address(host)), address(host));
+            let key = (register_position(address(host)), address(host));
             self.register.insert(key, host);
         }
         let is_lost = self
@@ -185,16 +185,16 @@
         }
     }
 
-    fn look(&mut self, now: Duration, host: usize, place: RegisterPlace) {
+    fn look(&mut self, now: Duration, host: usize, place: RegisterPosition) {
         let first = (place, SocketAddr::from(([0, 0, 0, 0], 0)));
         let behind = self.register.range(first..);
         let is_last = behind.clone().count() <= PAGE_COUNT;
-        let page: Vec<(RegisterPlace, usize)> = behind
+        let page: Vec<(RegisterPosition, usize)> = behind
             .take(PAGE_COUNT)
             .map(|((place, _), found)| (*place, *found))
             .collect();
         let others = page.iter().filter(|(_, found)| *found != host);
-        let look = RegisterLook {
+        let look = RegisterPageSummary {
             place,
             last_place: page.last().map(|(place, _)| *place),
             others_count: others.clone().count(),
@@ -276,7 +276,7 @@
         for seed in 0..10 {
             let mut fleet = Fleet::new(1, seed);
             for other in 0..hosts_count {
-                let key = (register_place(address(other)), address(other));
+                let key = (register_position(address(other)), address(other));
                 fleet.register.insert(key, other);
             }
             fleet.peers_counts[0] = 1;
@@ -296,7 +296,7 @@
 fn a_node_whom_nobody_answers_looks_again() {
     let mut fleet = Fleet::new(1, 1);
     for other in 1..400 {
-        let key = (register_place(address(other)), address(other));
+        let key = (register_position(address(other)), address(other));
         fleet.register.insert(key, other);
     }
     fleet.run(at_ms(60_000));
@@ -311,11 +311,11 @@
 #[test]
 fn a_page_tells_how_many_nodes_there_are() {
     for hosts_count in [1_000, 5_100] {
-        let mut places: Vec<RegisterPlace> = (0..hosts_count)
-            .map(|host| register_place(address(host)))
+        let mut places: Vec<RegisterPosition> = (0..hosts_count)
+            .map(|host| register_position(address(host)))
             .collect();
         places.sort_unstable();
-        let look = RegisterLook {
+        let look = RegisterPageSummary {
             place: places[100],
             last_place: Some(places[100 + PAGE_COUNT - 1]),
             others_count: PAGE_COUNT - 1,
@@ -378,7 +378,7 @@
 /// The store takes an entry, and comes back without it before the node has the answer.
 #[test]
 fn an_entry_that_was_lost_before_its_answer_came_is_made_again() {
-    let mut course = RegisterCourse::new(Duration::ZERO, address(1), 1);
+    let mut course = RegisterBootstrap::new(Duration::ZERO, address(1), 1);
     assert_eq!(course.step(at_ms(0), 0), RegisterStep::Enter);
     course.store_returned(at_ms(3), 1);
     course.entered(at_ms(4));
@@ -393,12 +393,12 @@
 /// A page that was asked for before the return tells nothing of the register as it is now.
 #[test]
 fn a_page_from_before_a_return_does_not_count() {
-    let mut course = RegisterCourse::new(Duration::ZERO, address(1), 1);
+    let mut course = RegisterBootstrap::new(Duration::ZERO, address(1), 1);
     course.step(at_ms(0), 0);
     course.entered(at_ms(4));
     course.store_returned(at_ms(5), 1);
-    let page = RegisterLook {
-        place: register_place(address(1)),
+    let page = RegisterPageSummary {
+        place: register_position(address(1)),
         last_place: None,
         others_count: 40,
         is_last: false,
@@ -411,7 +411,7 @@
 /// Returns come faster than entries are made again: none puts an entry off that is due.
 #[test]
 fn a_store_that_returns_all_the_time_is_entered_all_the_same() {
-    let mut course = RegisterCourse::new(Duration::ZERO, address(1), 1);
+    let mut course = RegisterBootstrap::new(Duration::ZERO, address(1), 1);
     course.step(at_ms(0), 0);
     course.entered(at_ms(4));
     let mut entries_count = 0;
--- a/crates/kumquatquay-core/tests/routed/request_row.rs
+++ b/crates/kumquatquay-core/tests/routed/request_row.rs
@@ -1,30 +1,30 @@
 //! Which requests of a connection run beside each other, and where it ends.
 
-use kumquatquay_core::routed::{RequestRow, RowLimits, RowRequest};
+use kumquatquay_core::routed::{PipelineLimits, PipelinedRequest, RequestPipeline};
 use quickcheck::quickcheck;
 
-const LIMITS: RowLimits = RowLimits {
+const LIMITS: PipelineLimits = PipelineLimits {
     started_count: 4,
     held_bytes: 1_000,
 };
 
-const LOOK_UP: RowRequest = RowRequest {
+const LOOK_UP: PipelinedRequest = PipelinedRequest {
     is_idempotent: true,
     ends_row: false,
 };
 
-const LAST_LOOK_UP: RowRequest = RowRequest {
+const LAST_LOOK_UP: PipelinedRequest = PipelinedRequest {
     is_idempotent: true,
     ends_row: true,
 };
 
-const FILING: RowRequest = RowRequest {
+const FILING: PipelinedRequest = PipelinedRequest {
     is_idempotent: false,
     ends_row: false,
 };
 
 /// Starts what may be started of the requests behind, as a connection does; how many.
-fn start_behind(row: &mut RequestRow<usize>, behind: &[RowRequest]) -> usize {
+fn start_behind(row: &mut RequestPipeline<usize>, behind: &[PipelinedRequest]) -> usize {
     let mut started_count = 0;
     for request in behind {
         if !row.has_room(0) || !row.may_start(*request) {
@@ -41,7 +41,7 @@
         $(
             #[test]
             fn $name() {
-                let mut row = RequestRow::new(LIMITS);
+                let mut row = RequestPipeline::new(LIMITS);
                 row.reach($first);
                 assert_eq!(start_behind(&mut row, &$behind), $count);
             }
@@ -61,14 +61,14 @@
 /// Nothing was reached, so what comes next is for the server to read first.
 #[test]
 fn nothing_is_started_before_the_first_is_reached() {
-    let row = RequestRow::<usize>::new(LIMITS);
+    let row = RequestPipeline::<usize>::new(LIMITS);
     assert!(!row.has_room(0));
 }
 
 /// A caller asks for large answers and doesn't read them. What waits is bounded.
 #[test]
 fn nothing_is_started_while_too_much_is_held() {
-    let mut row = RequestRow::<usize>::new(LIMITS);
+    let mut row = RequestPipeline::<usize>::new(LIMITS);
     row.reach(LOOK_UP);
     assert!(row.has_room(999));
     assert!(!row.has_room(1_000));
@@ -78,7 +78,7 @@
 /// the two others would have run for nothing.
 #[test]
 fn a_connection_ends_with_the_last_that_was_started() {
-    let mut row = RequestRow::new(LIMITS);
+    let mut row = RequestPipeline::new(LIMITS);
     row.reach(LOOK_UP);
     assert_eq!(start_behind(&mut row, &[LOOK_UP; 2]), 2);
     assert!(!row.answered(true));
@@ -94,11 +94,11 @@
     /// Whatever comes, and whenever it is looked at: answers come in order, a filing runs
     /// alone, and nothing that was started stands behind an answer that ends the connection.
     fn a_row_keeps_its_order(kinds: Vec<u8>, looks: Vec<bool>, stops_at: u8) -> bool {
-        let kinds: Vec<RowRequest> = kinds
+        let kinds: Vec<PipelinedRequest> = kinds
             .iter()
             .map(|kind| [LOOK_UP, LOOK_UP, FILING, LAST_LOOK_UP][usize::from(kind % 4)])
             .collect();
-        let mut row = RequestRow::<usize>::new(LIMITS);
+        let mut row = RequestPipeline::<usize>::new(LIMITS);
         let mut looks = looks.into_iter().chain(std::iter::repeat(true));
         let mut started_to = 0;
         for (place, kind) in kinds.iter().enumerate() {
--- a/crates/kumquatquay-core/tests/routed/return_time.rs
+++ b/crates/kumquatquay-core/tests/routed/return_time.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::ReturnTime;
+use kumquatquay_core::routed::RetryAfter;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::at_ms;
 
-const REFUSED: ReturnTime = ReturnTime {
+const REFUSED: RetryAfter = RetryAfter {
     target_latency: Duration::from_secs(2),
     time_left: Some(Duration::from_secs(6)),
     short_for: Duration::ZERO,
     room_in: None,
 };
 
-fn drawn(refused: ReturnTime) -> Vec<Duration> {
+fn drawn(refused: RetryAfter) -> Vec<Duration> {
     let mut random = StdRng::seed_from_u64(1);
     (0..1_000).map(|_| refused.draw(&mut random)).collect()
 }
@@ -32,7 +32,7 @@
 #[test]
 fn in_a_long_shortage_they_return_as_late_as_they_wait() {
     let short_for = Duration::from_secs(20);
-    let drawn = drawn(ReturnTime {
+    let drawn = drawn(RetryAfter {
         short_for,
         ..REFUSED
     });
@@ -43,7 +43,7 @@
 #[test]
 fn who_said_nothing_of_its_time_is_asked_back_soon() {
     let short_for = Duration::from_secs(20);
-    let drawn = drawn(ReturnTime {
+    let drawn = drawn(RetryAfter {
         time_left: None,
         short_for,
         ..REFUSED
@@ -61,7 +61,7 @@
     for _ in 0..20_000 {
         let short_for = surge.mul_f64(random.random());
         for (way, known) in [Duration::ZERO, short_for].into_iter().enumerate() {
-            let refused = ReturnTime {
+            let refused = RetryAfter {
                 short_for: known,
                 ..REFUSED
             };
@@ -76,7 +76,7 @@
 #[test]
 fn who_is_asked_back_when_there_is_room_is_spread_from_then_on() {
     let room_in = Some(at_ms(900));
-    let drawn = drawn(ReturnTime { room_in, ..REFUSED });
+    let drawn = drawn(RetryAfter { room_in, ..REFUSED });
     assert!(drawn.iter().all(|wait| *wait >= at_ms(900)));
     let late = drawn.iter().filter(|wait| **wait >= at_ms(1_400)).count();
     assert!((300..700).contains(&late), "{late}");
--- a/crates/kumquatquay-core/tests/routed/store_follower.rs
+++ b/crates/kumquatquay-core/tests/routed/store_follower.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{FollowStep, FollowerFleet, StoreFollower, StoreReaders};
+use kumquatquay_core::routed::{PollStep, PollerFleet, StorePoller, StoreReaders};
 
 use crate::at_ms;
 
@@ -84,8 +84,8 @@
         before.chain(after).map(at_ms).collect()
     }
 
-    fn fleet(&self, place: usize) -> FollowerFleet {
-        FollowerFleet {
+    fn fleet(&self, place: usize) -> PollerFleet {
+        PollerFleet {
             nodes_count: self.nodes_count,
             readers: StoreReaders {
                 is_reader: place < self.readers_count,
@@ -150,7 +150,7 @@
 #[derive(Debug)]
 struct Host {
     place: usize,
-    follower: StoreFollower,
+    follower: StorePoller,
     reads: Vec<Read>,
     waits_until: Duration,
     /// Confirmations that it has read.
@@ -189,7 +189,7 @@
     let mut hosts: Vec<Host> = (0..scene.nodes_count)
         .map(|host| Host {
             place: host,
-            follower: StoreFollower::new(Duration::ZERO, seed * 10_000 + host as u64),
+            follower: StorePoller::new(Duration::ZERO, seed * 10_000 + host as u64),
             reads: Vec::new(),
             waits_until: Duration::ZERO,
             position: 0,
@@ -285,10 +285,10 @@
     }
     while host.waits_until <= now {
         match host.follower.step(now, scene.fleet(host.place)) {
-            FollowStep::Wait { until } => host.waits_until = until,
+            PollStep::Wait { until } => host.waits_until = until,
             // Word of the readers comes by itself here, as far as it comes.
-            FollowStep::AskReader => {}
-            FollowStep::Read { hold } => {
+            PollStep::AskReader => {}
+            PollStep::Read { hold } => {
                 outcome.reads.push(now);
                 host.reads.push(Read {
                     began: now,
--- a/crates/kumquatquay-core/tests/routed/store_returns.rs
+++ b/crates/kumquatquay-core/tests/routed/store_returns.rs
@@ -8,8 +8,8 @@
 use std::{collections::VecDeque, time::Duration};
 
 use kumquatquay_core::routed::{
-    EraNews, FollowStep, FollowerFleet, LogAnswer, LogPage, LogPosition, LogRead, LogStep,
-    NewestProof, StoreFollower, StoreReaders, ToldProof,
+    EraChange, FreshnessProof, LogAnswer, LogPage, LogPosition, LogRead, LogStep, PeerProof,
+    PollStep, PollerFleet, StorePoller, StoreReaders,
 };
 use kumquatquay_wire::routed::{RouteVersion, StoreEra};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -192,8 +192,8 @@
 }
 
 struct Node {
-    follower: StoreFollower,
-    proof: NewestProof,
+    follower: StorePoller,
+    proof: FreshnessProof,
     position: LogPosition,
     reads: Vec<Read>,
     in_force: RouteVersion,
@@ -227,9 +227,9 @@
                 0
             };
             Node {
-                follower: StoreFollower::new(Duration::ZERO, random.random())
+                follower: StorePoller::new(Duration::ZERO, random.random())
                     .proof_within(at_ms(BOUND_MS)),
-                proof: NewestProof::default(),
+                proof: FreshnessProof::default(),
                 position: LogPosition::default(),
                 reads: Vec::new(),
                 in_force: 0,
@@ -275,7 +275,7 @@
     }
 
     fn begin_reads(&mut self, place: usize, now_ms: u64) {
-        let fleet = FollowerFleet {
+        let fleet = PollerFleet {
             nodes_count: self.scene.nodes_count,
             readers: StoreReaders {
                 is_reader: place < READERS_COUNT,
@@ -285,9 +285,9 @@
         while self.nodes[place].waits_until <= at_ms(now_ms) {
             let node = &mut self.nodes[place];
             match node.follower.step(at_ms(now_ms), fleet) {
-                FollowStep::Wait { until } => node.waits_until = until,
-                FollowStep::AskReader => self.ask(place, now_ms),
-                FollowStep::Read { hold } => {
+                PollStep::Wait { until } => node.waits_until = until,
+                PollStep::AskReader => self.ask(place, now_ms),
+                PollStep::Read { hold } => {
                     let is_proof_due = node.follower.is_proof_due(at_ms(now_ms));
                     let mut read = Read {
                         read: node.position.begin(),
@@ -431,9 +431,9 @@
         }
     }
 
-    fn on_era(&mut self, place: usize, now_ms: u64, news: EraNews, era: Option<StoreEra>) {
+    fn on_era(&mut self, place: usize, now_ms: u64, news: EraChange, era: Option<StoreEra>) {
         let node = &mut self.nodes[place];
-        if let (EraNews::Returned { .. }, Some(era)) = (news, era) {
+        if let (EraChange::Returned { .. }, Some(era)) = (news, era) {
             node.proof.returned(moment(now_ms), era);
             node.waits_until = at_ms(now_ms);
         }
@@ -454,7 +454,7 @@
         let from = &self.nodes[peer];
         let era = from.follower.era();
         let answers_count = from.follower.answers_count();
-        let told = ToldProof {
+        let told = PeerProof {
             asked: moment(now_ms.saturating_sub(CALL_MS)),
             version: from.in_force,
             age: from.proof.age(moment(now_ms)),
--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -4,7 +4,7 @@
 
 use http::{Response, StatusCode};
 use kumquatquay_core::routed::{
-    EntryLine, EntryRequest, Mechanism, ReturnTime, ShareGroup, Shortage,
+    EntryLine, EntryRequest, Mechanism, RetryAfter, ShareGroup, Shortage,
 };
 use rand::Rng;
 
@@ -231,7 +231,7 @@
     } else {
         Duration::ZERO
     };
-    let returns = ReturnTime {
+    let returns = RetryAfter {
         target_latency: entering.call.route.settings.target_latency,
         time_left: entering.expires.map(|expires| expires.saturating_sub(now)),
         short_for,
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use http::{HeaderMap, StatusCode, Uri, header, request::Parts};
-use kumquatquay_core::routed::{KeyClaim, KeyVerdict, RouteTable, TableRoute};
+use kumquatquay_core::routed::{KeyClaim, KeyVerdict, RouteEntry, RouteTable};
 use kumquatquay_wire::routed::WorkspaceSettings;
 use tokio::time::error::Elapsed;
 
@@ -20,7 +20,7 @@
 /// A request whose route and caller are known.
 pub(crate) struct Identified {
     pub(crate) table: Arc<RouteTable>,
-    pub(crate) route: Arc<TableRoute>,
+    pub(crate) route: Arc<RouteEntry>,
     /// The workspace that holds the caller's key.
     pub(crate) workspace: Option<Arc<WorkspaceSettings>>,
 }
@@ -154,7 +154,7 @@
     table: &'a RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
-) -> Option<&'a Arc<TableRoute>> {
+) -> Option<&'a Arc<RouteEntry>> {
     let host = headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok());
     let host = host.or_else(|| uri.host())?;
--- a/crates/kumquatquayd/src/routed/carry.rs
+++ b/crates/kumquatquayd/src/routed/carry.rs
@@ -2,7 +2,7 @@
 
 use std::{borrow::Cow, cell::Cell, net::SocketAddr, pin::pin, rc::Rc, sync::Arc, time::Duration};
 
-use kumquatquay_core::routed::{Choice, Mechanism, TableRoute, TargetEnded};
+use kumquatquay_core::routed::{Choice, Mechanism, RouteEntry, TargetEnded};
 use kumquatquay_wire::{
     BackendLife, ServiceName,
     routed::{
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct OutgoingCall {
     pub(crate) caller: Option<SocketAddr>,
-    pub(crate) route: Arc<TableRoute>,
+    pub(crate) route: Arc<RouteEntry>,
     pub(crate) service: ServiceName,
     pub(crate) version: RouteVersion,
     /// Workspace that holds the caller's key.
--- a/crates/kumquatquayd/src/routed/configuration_exchange.rs
+++ b/crates/kumquatquayd/src/routed/configuration_exchange.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::ToldProof;
+use kumquatquay_core::routed::PeerProof;
 use kumquatquay_wire::routed::{FollowState, FrameHead, Payload};
 
 use super::{link_frames::FrameWriter, node::RoutedNode};
@@ -42,7 +42,7 @@
     };
     let age = Duration::from_millis(u64::from(age_ms));
     let now = node.unsuspended();
-    let told = ToldProof {
+    let told = PeerProof {
         asked,
         version: followed.version,
         age: Some(age),
--- a/crates/kumquatquayd/src/routed/connection_row.rs
+++ b/crates/kumquatquayd/src/routed/connection_row.rs
@@ -14,7 +14,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use http::{HeaderMap, Request, Response, Uri};
-use kumquatquay_core::routed::{Mechanism, RequestRow, RowLimits, RowRequest};
+use kumquatquay_core::routed::{Mechanism, PipelineLimits, PipelinedRequest, RequestPipeline};
 use kumquatquay_wire::routed::Repeat;
 
 use super::{
@@ -27,7 +27,7 @@
 };
 
 /// What a connection may have under way behind the request that is answered next.
-const LIMITS: RowLimits = RowLimits {
+const LIMITS: PipelineLimits = PipelineLimits {
     started_count: 32,
     held_bytes: 1024 * 1024,
 };
@@ -68,7 +68,7 @@
     phase: Phase,
     /// The request that is passed on or answered.
     frame: RequestFrame,
-    row: RequestRow<StartedRequest>,
+    row: RequestPipeline<StartedRequest>,
 }
 
 /// How far the HTTP library is with a request.
@@ -163,7 +163,7 @@
                 missing: Missing::Unknown,
                 phase,
                 frame: RequestFrame::default(),
-                row: RequestRow::new(LIMITS),
+                row: RequestPipeline::new(LIMITS),
             }),
             held_bytes: Rc::default(),
             in_flight: RefCell::default(),
@@ -356,11 +356,11 @@
             && state.row.has_room(self.held_bytes.get())
     }
 
-    fn row_request(&self, headers: &HeaderMap, uri: &Uri, frame: RequestFrame) -> RowRequest {
+    fn row_request(&self, headers: &HeaderMap, uri: &Uri, frame: RequestFrame) -> PipelinedRequest {
         let table = self.node.routes();
         let route = table.as_ref();
         let route = route.and_then(|table| find_route(table, headers, uri));
-        RowRequest {
+        PipelinedRequest {
             is_idempotent: route.is_some_and(|route| route.settings.repeat == Repeat::Idempotent),
             ends_row: frame.ends_row,
         }
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -6,7 +6,7 @@
 use http::{Request, Response, StatusCode, request::Parts};
 use http_body_util::{BodyExt, Either, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use kumquatquay_core::routed::{Mechanism, ReturnTime, TableRoute, whole_rank};
+use kumquatquay_core::routed::{Mechanism, RetryAfter, RouteEntry, whole_rank};
 use kumquatquay_wire::routed::{
     LinkOutcome, NotRunReason, Payload, RouteSettings, UnknownReason, WorkspaceSettings,
 };
@@ -126,7 +126,7 @@
 ///
 /// One that is taken in the last moment of the grace is cut off when it ends. Calls
 /// that backend servers make belong to requests that are under way.
-fn is_too_late(node: &RoutedNode, route: &TableRoute) -> bool {
+fn is_too_late(node: &RoutedNode, route: &RouteEntry) -> bool {
     if node.stop_phase() == StopPhase::Ending {
         return true;
     }
@@ -152,7 +152,7 @@
 fn refuse_over_quota(
     node: &RoutedNode,
     marks: &RequestMarks,
-    route: &TableRoute,
+    route: &RouteEntry,
     workspace: &WorkspaceSettings,
     refusal: QuotaRefusal,
 ) -> Response<WholeBody> {
@@ -277,7 +277,7 @@
 }
 
 /// The moment at which the caller has its answer or is told that there is none.
-fn deadline_of(route: &TableRoute, marks: &RequestMarks, began: Duration) -> Duration {
+fn deadline_of(route: &RouteEntry, marks: &RequestMarks, began: Duration) -> Duration {
     let timeout = route.settings.timeout;
     began + marks.time_left.map_or(timeout, |left| left.min(timeout))
 }
@@ -340,6 +340,6 @@
 
 /// When a caller should come back that wasn't refused for a shortage of which more is known.
 pub(super) fn retry_after(node: &RoutedNode, route: &RouteSettings) -> Duration {
-    let returns = ReturnTime::soon(route.target_latency);
+    let returns = RetryAfter::soon(route.target_latency);
     returns.draw(&mut *node.random.borrow_mut())
 }
--- a/crates/kumquatquayd/src/routed/interface.rs
+++ b/crates/kumquatquayd/src/routed/interface.rs
@@ -4,7 +4,9 @@
 
 use derive_more::{Display, Error};
 use http::HeaderMap;
-use kumquatquay_core::routed::{AdvertisedLimit, BackendLoad, KeyClaim, LifeReport, RegisterPlace};
+use kumquatquay_core::routed::{
+    AdvertisedLimit, BackendLoad, KeyClaim, LifeReport, RegisterPosition,
+};
 use kumquatquay_wire::{
     BackendLife, InstanceId,
     routed::{RouteConfiguration, RouteVersion, StoreEra},
@@ -116,9 +118,9 @@
     /// hold the read for the given time until there is one.
     pub read_routes: Arc<dyn Fn(Duration) -> StoreFuture<RouteNews>>,
     /// Some of the nodes that have entered themselves: one page, from a place on.
-    pub register_page: Arc<dyn Fn(RegisterPlace) -> StoreFuture<RegisterPage>>,
+    pub register_page: Arc<dyn Fn(RegisterPosition) -> StoreFuture<RegisterPage>>,
     /// Enters this node, by its control address, at its place.
-    pub enter_node: Arc<dyn Fn(SocketAddr, RegisterPlace) -> StoreFuture<()>>,
+    pub enter_node: Arc<dyn Fn(SocketAddr, RegisterPosition) -> StoreFuture<()>>,
     /// What answers of the store, refusals included, have told of its era so far.
     pub eras: Arc<dyn Fn() -> ToldEras>,
 }
@@ -141,7 +143,7 @@
     /// no sense are left out.
     pub nodes: Vec<SocketAddr>,
     /// Place of the last entry on it, where there is one.
-    pub last_place: Option<RegisterPlace>,
+    pub last_place: Option<RegisterPosition>,
     /// Whether the register ends with it.
     pub is_last: bool,
 }
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -11,7 +11,7 @@
 
 use kumquatquay_core::{
     quota::Loan,
-    routed::{LinkHealth, LinkStep, Mechanism},
+    routed::{LinkAction, LinkHealth, Mechanism},
 };
 use kumquatquay_wire::{
     WireError,
@@ -401,12 +401,12 @@
     let is_waited_for = !link.pending.borrow().is_empty();
     let mut health = link.health.borrow_mut();
     match health.look(node.now(), WATCH_INTERVAL, is_waited_for) {
-        LinkStep::Keep => {}
-        LinkStep::Ask => {
+        LinkAction::Keep => {}
+        LinkAction::Ask => {
             link.frames.push(&ping(node));
         }
-        LinkStep::Avoid if !node.is_on(Mechanism::SilentLinks) => {}
-        LinkStep::Avoid => {
+        LinkAction::Avoid if !node.is_on(Mechanism::SilentLinks) => {}
+        LinkAction::Avoid => {
             node.targets.borrow_mut().lost(link.peer);
             let is_news = |is_silent: &mut bool| !std::mem::replace(is_silent, true);
             if link.is_silent.send_if_modified(is_news) {
@@ -415,6 +415,6 @@
                     "no sign of life: calls go elsewhere");
             }
         }
-        LinkStep::GiveUp => link.end.notify_one(),
+        LinkAction::GiveUp => link.end.notify_one(),
     }
 }
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -5,8 +5,8 @@
 use kumquatquay_core::{
     Announcement, BackendInput, Input,
     routed::{
-        LifeState, RegisterCourse, RegisterLook, RegisterPlace, RegisterStep, StoreReaders,
-        register_place,
+        LifeState, RegisterBootstrap, RegisterPageSummary, RegisterPosition, RegisterStep,
+        StoreReaders, register_position,
     },
 };
 use kumquatquay_wire::{MemberState, MeshKey};
@@ -151,11 +151,11 @@
     node.engine
         .handle(Input::Seeds(node.settings.seeds.clone()));
     let random_seed = node.random.borrow_mut().random();
-    let mut course = RegisterCourse::new(node.now(), own, random_seed);
+    let mut course = RegisterBootstrap::new(node.now(), own, random_seed);
     loop {
         match course.step(node.now(), peers_count(&node)) {
             RegisterStep::Enter => {
-                let entered = (store.enter_node)(own, register_place(own)).await;
+                let entered = (store.enter_node)(own, register_position(own)).await;
                 look_for_return(&node, &store, &mut course);
                 match entered {
                     Ok(()) => on_entered(&node, &mut course),
@@ -189,20 +189,20 @@
 }
 
 /// Looks whether the store came back from a copy, which may lack this node's entry.
-fn look_for_return(node: &RoutedNode, store: &PlatformStore, course: &mut RegisterCourse) {
+fn look_for_return(node: &RoutedNode, store: &PlatformStore, course: &mut RegisterBootstrap) {
     node.see_store_eras((store.eras)());
     if node.store_return.take() {
         course.store_returned(node.now(), node.follower_fleet().nodes_count);
     }
 }
 
-fn on_entered(node: &RoutedNode, course: &mut RegisterCourse) {
+fn on_entered(node: &RoutedNode, course: &mut RegisterBootstrap) {
     course.entered(node.now());
     node.metrics.count("register", "entered");
     log::info!(event = "register_entered"; "this node stands in the register");
 }
 
-fn on_unreached(node: &RoutedNode, course: &mut RegisterCourse, error: &StoreError) {
+fn on_unreached(node: &RoutedNode, course: &mut RegisterBootstrap, error: &StoreError) {
     log::warn!(event = "register_unreached"; "{error}");
     course.failed(node.now());
 }
@@ -217,11 +217,15 @@
 }
 
 /// Introduces this node to those on a page of the register.
-fn introduce(node: &RoutedNode, place: RegisterPlace, page: RegisterPage) -> RegisterLook {
+fn introduce(
+    node: &RoutedNode,
+    place: RegisterPosition,
+    page: RegisterPage,
+) -> RegisterPageSummary {
     let own = node.settings.listen.control;
     let others = page.nodes.into_iter().filter(|control| *control != own);
     let others: Vec<SocketAddr> = others.collect();
-    let look = RegisterLook {
+    let look = RegisterPageSummary {
         place,
         last_place: page.last_place,
         others_count: others.len(),
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -10,10 +10,10 @@
 };
 
 use kumquatquay_core::routed::{
-    BackendLives, BackendPulse, CallGraph, CallTracer, CallerCensus, EntryLevels, FairShares,
-    FollowerFleet, GateRepeats, GraphRow, HeldAnswers, HostGate, LevelSetter, MachinePace,
-    Mechanism, Mechanisms, NewestProof, QueueOrder, RetryWindow, RouteTable, RunFailures,
-    StoreFollower, StoreReaders, TargetTable, UnknownKeys,
+    BackendLives, BackendPulse, CallEdge, CallGraph, CallTracer, EntryLevels, FairShares,
+    FreshnessProof, GateRepeats, HeldAnswers, HostGate, LevelSetter, MachinePace, Mechanism,
+    Mechanisms, PollerFleet, QueueOrder, RetryWindow, RouteCallers, RouteTable, RunFailures,
+    StorePoller, StoreReaders, TargetTable, UnknownKeys,
 };
 use kumquatquay_wire::routed::{
     BODY_LIMIT_BYTES, FollowState, GateReport, RouteConfiguration, RouteNews, RouteVersion,
@@ -75,13 +75,13 @@
     /// The configuration in force as it was read, for nodes that ask.
     pub(crate) configuration: RefCell<Option<RouteConfiguration>>,
     /// When the store is asked for configurations.
-    pub(crate) follower: RefCell<StoreFollower>,
+    pub(crate) follower: RefCell<StorePoller>,
     /// Told that the store is to be asked out of turn.
     pub(crate) follower_wake: Notify,
     /// What is kept of the store's returns from a copy.
     pub(super) store_return: StoreReturn,
     /// Until when the configuration in force was the newest.
-    pub(super) proof: RefCell<NewestProof>,
+    pub(super) proof: RefCell<FreshnessProof>,
     /// By how much the clock that counts suspended time was ahead when it was read last.
     pub(super) suspended: Cell<Duration>,
     /// Told of each new proof.
@@ -108,7 +108,7 @@
     /// Sets the level of the gate of this host.
     pub(crate) level: RefCell<LevelSetter>,
     /// From where routes to the backend server of this host are called.
-    pub(crate) census: RefCell<CallerCensus>,
+    pub(crate) census: RefCell<RouteCallers>,
     /// Which calls the backend server of this host makes.
     pub(crate) graph: RefCell<CallGraph>,
     /// The same, run by run.
@@ -188,8 +188,8 @@
         // and how many isn't known for sure.
         let at_gate = RetryWindow::new(budget.window, budget.ratio * AT_GATE_RATIO, 0.0);
         let gate = gate_by(settings.mechanisms);
-        let census = CallerCensus::at(settings.service.clone());
-        let follower = StoreFollower::new(Duration::ZERO, random.random());
+        let census = RouteCallers::at(settings.service.clone());
+        let follower = StorePoller::new(Duration::ZERO, random.random());
         let follower = match settings.bounds.revoke {
             Some(bound) => follower.proof_within(bound),
             None => follower,
@@ -294,9 +294,9 @@
     }
 
     /// The fleet as far as this node knows it.
-    pub(crate) fn follower_fleet(&self) -> FollowerFleet {
+    pub(crate) fn follower_fleet(&self) -> PollerFleet {
         let estimate_count = self.register_estimate_count.get();
-        FollowerFleet {
+        PollerFleet {
             nodes_count: self.nodes_count.get().max(estimate_count),
             readers: self.readers.get(),
         }
@@ -415,7 +415,7 @@
     }
 
     /// What one run of a route calls, and whether all of it was seen run by run.
-    fn call_rows(&self, now: Duration, route: &str) -> (Vec<GraphRow>, bool) {
+    fn call_rows(&self, now: Duration, route: &str) -> (Vec<CallEdge>, bool) {
         let fitted = self.graph.borrow().rows(route);
         if !self.is_on(Mechanism::TracedCalls) {
             return (fitted, false);
--- a/crates/kumquatquayd/src/routed/proofs.rs
+++ b/crates/kumquatquayd/src/routed/proofs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::NewestProof;
+use kumquatquay_core::routed::FreshnessProof;
 use kumquatquay_wire::routed::{FollowState, RouteSettings};
 
 use super::node::RoutedNode;
@@ -88,7 +88,7 @@
     }
 
     /// Takes in what shows until when the configuration in force was the newest.
-    pub(crate) fn prove(&self, learn: impl FnOnce(&mut NewestProof)) {
+    pub(crate) fn prove(&self, learn: impl FnOnce(&mut FreshnessProof)) {
         let mut proof = self.proof.borrow_mut();
         learn(&mut proof);
         if let Some(age) = proof.age(self.unsuspended()) {
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use kumquatquay_core::{
-    quota::{Keepers, Loan, NodeQuotas, QuotaLimit, slice_of},
+    quota::{Borrowers, Loan, NodeQuotas, QuotaLimit, slice_of},
     routed::Mechanism,
 };
 use kumquatquay_wire::{
@@ -39,8 +39,8 @@
 #[derive(Debug)]
 pub(crate) struct Quotas {
     shares: NodeQuotas,
-    keepers: Keepers,
-    /// Keepers that gave no answer, by when they were asked last.
+    keepers: Borrowers,
+    /// Borrowers that gave no answer, by when they were asked last.
     silent: HashMap<SocketAddr, Duration>,
     asked: HashMap<u64, oneshot::Sender<QuotaVerdict>>,
     last_number: u64,
@@ -50,7 +50,7 @@
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             shares: NodeQuotas::new(now),
-            keepers: Keepers::default(),
+            keepers: Borrowers::default(),
             silent: HashMap::new(),
             asked: HashMap::new(),
             last_number: 0,
@@ -416,7 +416,7 @@
             members.filter(|member| member.state != MemberState::Gone && member.control != own);
         let asked = others.map(|member| {
             let is_near = member.data_centre == *data_centre;
-            (member.peer, Keepers::asked_of(wanted, is_near))
+            (member.peer, Borrowers::asked_of(wanted, is_near))
         });
         asked.filter(|(_, wanted)| !wanted.is_empty()).collect()
     })
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::TableRoute;
+use kumquatquay_core::routed::RouteEntry;
 use kumquatquay_wire::routed::{
     GateReport, LinkOutcome, NotRunReason, UnknownReason, WorkspaceSettings,
 };
@@ -123,7 +123,7 @@
 pub(crate) fn log_over_quota(
     node: &RoutedNode,
     marks: &RequestMarks,
-    route: &TableRoute,
+    route: &RouteEntry,
     workspace: &WorkspaceSettings,
     why: &'static str,
     refusal: QuotaRefusal,
--- a/crates/kumquatquayd/src/routed/routes_watch.rs
+++ b/crates/kumquatquayd/src/routed/routes_watch.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-use kumquatquay_core::routed::FollowStep;
+use kumquatquay_core::routed::PollStep;
 use kumquatquay_wire::MemberState;
 use rand::seq::{IndexedRandom, IteratorRandom};
 use tokio::task::JoinSet;
@@ -31,18 +31,18 @@
     loop {
         let step = next_step(&node);
         let until = match step {
-            FollowStep::Read { hold } => {
+            PollStep::Read { hold } => {
                 if is_proof_due(&node) {
                     ask_reader(&node);
                 }
                 reads.spawn_local(read(Rc::clone(&node), store.clone(), hold));
                 continue;
             }
-            FollowStep::AskReader => {
+            PollStep::AskReader => {
                 ask_reader(&node);
                 continue;
             }
-            FollowStep::Wait { until } => until,
+            PollStep::Wait { until } => until,
         };
         let pause = tokio::time::sleep(until.saturating_sub(node.now()));
         tokio::select! {
@@ -61,7 +61,7 @@
     }
 }
 
-fn next_step(node: &RoutedNode) -> FollowStep {
+fn next_step(node: &RoutedNode) -> PollStep {
     let now = node.now();
     let mut follower = node.follower.borrow_mut();
     let was_ailing = follower.is_ailing();
--- a/crates/kumquatquayd/src/routed/run_here.rs
+++ b/crates/kumquatquayd/src/routed/run_here.rs
@@ -5,7 +5,7 @@
 use http::{Method, Request, Uri};
 use http_body_util::Full;
 use kumquatquay_core::routed::{
-    Admission, GateCall, Mechanism, RouteRun, RunNumber, TurnedAwayCall, WaitKey,
+    Admission, GateCall, Mechanism, RouteRun, RunId, TurnedAwayCall, WaitKey,
 };
 use kumquatquay_wire::routed::{CallHead, LinkOutcome, NotRunReason, Payload, UnknownReason};
 use tokio::sync::oneshot;
@@ -307,7 +307,7 @@
 struct Run<'a> {
     node: &'a RoutedNode,
     call: &'a CallHead<'a>,
-    number: RunNumber,
+    number: RunId,
     /// Whether anything came from the backend server.
     has_sign: bool,
     /// Whether it did all that it was asked for.
--- a/crates/kumquatquayd/src/routed/settings.rs
+++ b/crates/kumquatquayd/src/routed/settings.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use kumquatquay_core::{quota::QuotaSlack, routed::Mechanisms};
+use kumquatquay_core::{quota::QuotaTolerance, routed::Mechanisms};
 use kumquatquay_wire::{DataCentreName, ServiceName};
 
 /// Settings of a node on configured routes, for its whole life.
@@ -27,7 +27,7 @@
     /// What may be sent once more.
     pub retry_budget: RetryBudget,
     /// By how much quotas of workspaces may be passed, if at all.
-    pub quota_slack: Option<QuotaSlack>,
+    pub quota_slack: Option<QuotaTolerance>,
     /// Which mechanisms decide.
     pub mechanisms: Mechanisms,
 }
--- a/crates/kumquatquayd/src/routed/store_return.rs
+++ b/crates/kumquatquayd/src/routed/store_return.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use kumquatquay_core::routed::EraNews;
+use kumquatquay_core::routed::EraChange;
 use kumquatquay_wire::routed::StoreEra;
 use tokio::sync::Notify;
 
@@ -61,17 +61,17 @@
     }
 
     /// Takes in what an era that was told says of the store.
-    pub(crate) fn on_era_news(&self, news: EraNews, era: Option<StoreEra>, from: &'static str) {
+    pub(crate) fn on_era_news(&self, news: EraChange, era: Option<StoreEra>, from: &'static str) {
         match news {
-            EraNews::None => {}
-            EraNews::First => {
+            EraChange::None => {}
+            EraChange::First => {
                 log::info!(event = "store_era", era = era, from = from;
                     "the store tells its era, which rises if it comes back from a copy");
             }
-            EraNews::Senseless => {
+            EraChange::Senseless => {
                 self.pass_over_era("senseless", "a node tells of an era that is too far ahead");
             }
-            EraNews::Returned { before } => {
+            EraChange::Returned { before } => {
                 let era = era.unwrap_or_default();
                 let now = self.unsuspended();
                 self.proof.borrow_mut().returned(now, era);
