--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -10,8 +10,8 @@
 
 use super::{
     caller_identity::IdentityRefusal,
-    carry::OutgoingCall,
     entry::retry_after,
+    forwarding::OutgoingCall,
     holding::{HoldEnd, hold, line_of},
     http_io::{WholeBody, own_answer},
     node::{RoutedNode, StopPhase},
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -14,7 +14,7 @@
 use super::{
     admission::{Admission, Entering, admit, refuse_for_now},
     caller_identity::{Identified, IdentityRefusal, identify, look_up},
-    carry::{OutgoingCall, Progress, carry},
+    forwarding::{OutgoingCall, Progress, forward},
     http_io::{Caller, WholeBody, fields_of, headers_of, own_answer},
     interface::RequestMarks,
     link_answer::{HandedOver, LinkAnswer},
@@ -94,7 +94,7 @@
     let token = token.spend();
     let let_in = node.now();
     let wait = call.deadline.saturating_sub(node.now());
-    let carried = tokio::time::timeout(wait, carry(node, &call)).await;
+    let carried = tokio::time::timeout(wait, forward(node, &call)).await;
     if carried.as_ref().is_ok_and(LinkAnswer::is_success) {
         let took = node.now().saturating_sub(let_in);
         let mut held = node.held_requests.borrow_mut();
--- a/crates/kumquatquayd/src/routed/carry.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -14,8 +14,8 @@
 use super::{
     link::{send_call, silence_of},
     link_answer::{HandedOver, LinkAnswer},
+    local_run::run_locally,
     node::RoutedNode,
-    run_here::run_here,
 };
 
 /// Nodes that are asked for room for one call, at most. A refusal there costs a
@@ -80,8 +80,8 @@
 }
 
 /// Carries a call until it is answered, refused or given up.
-pub(crate) async fn carry(node: &Rc<RoutedNode>, call: &OutgoingCall) -> LinkAnswer {
-    node.count_request(&call.route.settings.name, &call.service);
+pub(crate) async fn forward(node: &Rc<RoutedNode>, call: &OutgoingCall) -> LinkAnswer {
+    node.deposit_retry_budget(&call.route.settings.name, &call.service);
     let mut course = Course::default();
     loop {
         if node.now() + LAST_ATTEMPT > call.deadline {
@@ -225,7 +225,7 @@
             return None;
         }
         let other = choose(node, call, &self.asked)?;
-        if !node.take_repeat(&call.route.settings.name, &call.service) {
+        if !node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
             let mut targets = node.targets.borrow_mut();
             targets.ended(node.now(), other.control, TargetEnded::GivenUp, None);
             return None;
@@ -241,7 +241,7 @@
     /// Whether a call that a backend server has seen is sent to another one.
     fn once_more(&self, node: &RoutedNode, call: &OutgoingCall) -> Verdict {
         let is_allowed = self.progress.sends_count < call.route.settings.attempts_count;
-        if is_allowed && node.take_repeat(&call.route.settings.name, &call.service) {
+        if is_allowed && node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
             node.metrics.count("repeat", "sent");
             Verdict::Elsewhere
         } else {
@@ -386,7 +386,7 @@
         true
     };
     let never = std::future::pending();
-    let mut answer = run_here(node, &head, &call.payload, confirmed, never).await;
+    let mut answer = run_locally(node, &head, &call.payload, confirmed, never).await;
     answer.report = Some(node.gate_report());
     answer.news = Some(node.route_news(head.route));
     answer
--- a/crates/kumquatquayd/src/routed/holding.rs
+++ b/crates/kumquatquayd/src/routed/holding.rs
@@ -10,7 +10,7 @@
 
 use super::{
     admission::{Entering, Short, offer_anew},
-    carry::OutgoingCall,
+    forwarding::OutgoingCall,
     node::{RoutedNode, StopPhase},
 };
 
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -20,9 +20,9 @@
     configuration_exchange::{on_configuration, on_followed, tell_configuration},
     link_answer::LinkAnswer,
     link_frames::{FrameWriter, read_frames},
+    local_run::run_locally,
     node::RoutedNode,
     quotas::{give_back_here, lend, take_here},
-    run_here::run_here,
     runners::run_call,
 };
 
@@ -257,7 +257,7 @@
             // The sender is only ever dropped, which says that the call is cancelled.
             let _ = cancelled.await;
         };
-        let answer = run_here(node, &call, &frame.payload, confirmed, cancelled).await;
+        let answer = run_locally(node, &call, &frame.payload, confirmed, cancelled).await;
         let is_wanted = link.open.borrow_mut().remove(&number).is_some();
         if is_wanted {
             tell_answer(node, &link, number, call.route, &answer);
--- a/crates/kumquatquayd/src/routed/run_here.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -55,7 +55,7 @@
 /// When there is room, `confirmed` tells whether the call is still to be run. When
 /// `cancelled` is done, a call that waits is taken out, and one that runs is given up if
 /// it may run again; one that may not is let run to its end.
-pub(crate) async fn run_here(
+pub(crate) async fn run_locally(
     node: &Rc<RoutedNode>,
     call: &CallHead<'_>,
     payload: &Payload,
@@ -102,7 +102,7 @@
 
 /// Sets the level of the gate from what it sees, and looks whether the backend
 /// server is silent.
-pub(crate) async fn set_level(node: Rc<RoutedNode>) {
+pub(crate) async fn update_level_periodically(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(LEVEL_INTERVAL).await;
         let now = node.now();
@@ -118,7 +118,7 @@
 }
 
 /// Lets calls run that wait for the rate limit of the backend server, as it allows.
-pub(crate) async fn admit_by_limit(node: Rc<RoutedNode>) {
+pub(crate) async fn admit_within_rate_limit(node: Rc<RoutedNode>) {
     loop {
         let wait = node.gate.borrow().limit_wait(node.now());
         match wait {
@@ -175,7 +175,7 @@
 }
 
 /// Sends calls that wait for a backend server that is leaving to other ones.
-pub(crate) fn turn_away_waiting(node: &RoutedNode) {
+pub(crate) fn withdraw_waiting(node: &RoutedNode) {
     let waiting = node.gate.borrow_mut().withdraw_all();
     // Dropping a ticket tells its call that it isn't run here.
     drop(waiting);
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -15,8 +15,8 @@
 
 use super::{
     interface::{PlatformStore, RegisterPage, StoreError},
+    local_run::withdraw_waiting,
     node::RoutedNode,
-    run_here::turn_away_waiting,
 };
 use crate::{
     control,
@@ -68,7 +68,7 @@
     if node.lives.borrow_mut().on_found_dead() {
         log::warn!(event = "backend_dead"; "the backend server is taken to be dead: {why}");
         node.engine.handle(BackendInput::Died);
-        turn_away_waiting(node);
+        withdraw_waiting(node);
     }
 }
 
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -30,7 +30,7 @@
     link::Links,
     node_metrics::NodeMetrics,
     quotas::Quotas,
-    retries::{AT_GATE_RATIO, Retries},
+    retry_budgets::{GATE_RETRY_RATIO, RetryBudgets},
     runners::Runners,
     settings::RoutedSettings,
     store_return::StoreReturn,
@@ -89,7 +89,7 @@
     /// When another node may next be asked for a configuration.
     next_ask: Cell<Duration>,
     pub(crate) targets: RefCell<TargetTable>,
-    pub(super) retries: RefCell<Retries>,
+    pub(super) retry_budgets: RefCell<RetryBudgets>,
     /// Calls that the gate of this host hands over once more.
     pub(crate) gate_repeats: RefCell<GateRepeats>,
     pub(crate) links: RefCell<Links>,
@@ -186,7 +186,7 @@
         let budget = settings.retry_budget;
         // Its part of the extra repeats is left out: there are few gates to a service,
         // and how many isn't known for sure.
-        let at_gate = RetryWindow::new(budget.window, budget.ratio * AT_GATE_RATIO, 0.0);
+        let at_gate = RetryWindow::new(budget.window, budget.ratio * GATE_RETRY_RATIO, 0.0);
         let gate = gate_by(settings.mechanisms);
         let census = RouteCallers::at(settings.service.clone());
         let follower = StorePoller::new(Duration::ZERO, random.random());
@@ -216,7 +216,7 @@
             routes: RefCell::default(),
             configuration: RefCell::default(),
             next_ask: Cell::default(),
-            retries: RefCell::default(),
+            retry_budgets: RefCell::default(),
             gate_repeats: RefCell::new(GateRepeats::new(at_gate)),
             links: RefCell::default(),
             runners: Runners::default(),
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -11,10 +11,10 @@
 use super::{
     http_io::{WholeBody, own_answer},
     interface::BackendReport,
+    local_run::admit_waiting,
     members::announce,
     metrics_text::metrics_text,
     node::{RoutedNode, StopPhase},
-    run_here::admit_waiting,
 };
 
 /// The longest report, in bytes; one has some 300.
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{
-    caller_identity::IdentityRefusal, carry::OutgoingCall, interface::RequestMarks,
+    caller_identity::IdentityRefusal, forwarding::OutgoingCall, interface::RequestMarks,
     link_answer::LinkAnswer, node::RoutedNode, quotas::QuotaRefusal,
 };
 
--- a/crates/kumquatquayd/src/routed/retries.rs
+++ b/crates/kumquatquayd/src/routed/retry_budgets.rs
@@ -14,11 +14,11 @@
 /// differently elsewhere.
 const OWN_RATIO: f64 = 0.35;
 const CAUSED_RATIO: f64 = 0.25;
-pub(super) const AT_GATE_RATIO: f64 = 0.3;
+pub(super) const GATE_RETRY_RATIO: f64 = 0.3;
 
 /// Repeats of this node, by service.
 #[derive(Debug, Default)]
-pub(crate) struct Retries {
+pub(crate) struct RetryBudgets {
     own: HashMap<ServiceName, RetryWindow>,
     caused: HashMap<ServiceName, RetryWindow>,
 }
@@ -33,7 +33,7 @@
 
 impl RoutedNode {
     /// Counts a call for the retry budgets of its service and of those behind it.
-    pub(crate) fn count_request(&self, route: &str, service: &str) {
+    pub(crate) fn deposit_retry_budget(&self, route: &str, service: &str) {
         let now = self.now();
         self.with_window(service, Repeats::Own, |window| window.on_requests(now, 1.0));
         for (behind, calls_count) in self.calls_behind(route, service) {
@@ -46,7 +46,7 @@
     /// Takes a repeat of a call out of the retry budgets, if there is room in all.
     ///
     /// The calls that a repeated run makes are repeats too, at the services behind.
-    pub(crate) fn take_repeat(&self, route: &str, service: &str) -> bool {
+    pub(crate) fn withdraw_retry_budget(&self, route: &str, service: &str) -> bool {
         let now = self.now();
         let behind = self.calls_behind(route, service);
         let mut has_room =
@@ -85,10 +85,10 @@
         act: impl FnOnce(&mut RetryWindow) -> T,
     ) -> T {
         let budget = self.settings.retry_budget;
-        let mut retries = self.retries.borrow_mut();
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
         let (windows, part) = match kind {
-            Repeats::Own => (&mut retries.own, OWN_RATIO),
-            Repeats::Caused => (&mut retries.caused, CAUSED_RATIO),
+            Repeats::Own => (&mut retry_budgets.own, OWN_RATIO),
+            Repeats::Caused => (&mut retry_budgets.caused, CAUSED_RATIO),
         };
         let extra_count = budget.extra_count * part / self.nodes_count.get() as f64;
         if !windows.contains_key(service) {
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    interface::AnswerMarks, node::RoutedNode, reports::backend_changed, run_here::admit_waiting,
+    interface::AnswerMarks, local_run::admit_waiting, node::RoutedNode, reports::backend_changed,
 };
 
 /// Takes in what the answer to a run that began at `began` says of a leaving and a rate limit.
--- a/crates/kumquatquayd/src/routed/start.rs
+++ b/crates/kumquatquayd/src/routed/start.rs
@@ -15,13 +15,13 @@
     interface::{Dialect, PlatformStore},
     link::watch_links,
     link_server::serve_link,
+    local_run::{admit_within_rate_limit, update_level_periodically},
     members::{carry_out, follow_members, look_for_returned, tick, use_register},
     node::{RoutedNode, StopPhase},
     pipelining::serve_caller,
     quotas::keep_quotas,
     reports::{serve_metrics, serve_readiness, serve_report},
     routes_watch::{ask_for_configuration, follow_routes},
-    run_here::{admit_by_limit, set_level},
     settings::RoutedSettings,
 };
 use crate::{clock::incarnation, control, engine::Engine};
@@ -85,8 +85,8 @@
     tasks.spawn_local(look_for_returned(Rc::clone(&node)));
     tasks.spawn_local(watch_links(Rc::clone(&node)));
     tasks.spawn_local(keep_quotas(Rc::clone(&node)));
-    tasks.spawn_local(set_level(Rc::clone(&node)));
-    tasks.spawn_local(admit_by_limit(Rc::clone(&node)));
+    tasks.spawn_local(update_level_periodically(Rc::clone(&node)));
+    tasks.spawn_local(admit_within_rate_limit(Rc::clone(&node)));
     tasks.spawn_local(release_held(Rc::clone(&node)));
     tasks.spawn_local(look_for_backend(Rc::clone(&node)));
     tasks.spawn_local(ask_for_configuration(Rc::clone(&node)));
