--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at the entry.
+//! Requests that are held at the entry until there is room for them.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A queue that knows how long requests on the route take.
+/// A queue that has learnt how long requests on the route take.
 fn queue<T>() -> EntryQueue<T> {
     let mut queue = EntryQueue::default();
     for _ in 0..200 {
@@ -42,7 +42,7 @@
     queue.offer(at_ms(at), &request, ticket, &mut random)
 }
 
-/// Offers requests until one is held; then the line's credit is used up.
+/// Offers requests until one is held, which uses up the credit of its line; returns its ticket.
 fn held(queue: &mut EntryQueue<u32>, at: u64, chance: f64) -> u32 {
     (0..10)
         .find(|ticket| matches!(offer(queue, at, chance, *ticket), HoldOffer::Held(_)))
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn with_room_for_all_nobody_waits() {
+fn with_room_for_all_no_request_is_held() {
     let mut queue = queue();
     for ticket in 0..100 {
         let at = u64::from(ticket) * 10;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_held_request_is_let_in_when_the_shortage_ends() {
+fn a_held_request_is_admitted_when_the_shortage_ends() {
     let mut queue = queue();
     let ticket = held(&mut queue, 0, 0.6);
     let released = (25..5_000)
@@ -76,18 +76,19 @@
     assert_eq!((queue.held_count(), queue.held_bytes()), (0, 0));
 }
 
-/// Its caller was told to wait; refused now, it would have waited for nothing.
+/// At the last moment at which a held request can still be answered in time, it is admitted. If
+/// it were refused then, its caller would have waited for nothing.
 #[test]
-fn one_that_can_wait_no_longer_is_let_in_while_there_is_some_room() {
+fn a_held_request_is_admitted_when_it_can_wait_no_longer() {
     let mut queue = queue();
     held(&mut queue, 0, 0.6);
-    // No chance is told meanwhile: nothing is offered anew within this moment.
+    // No release runs before this one, so none has refused the request for lack of room.
     let released = queue.release(at_ms(0) + TARGET - NEEDED, |_| 0.0);
     assert_eq!(outcomes(&released), [HoldOutcome::Due]);
 }
 
 #[test]
-fn where_no_room_comes_it_goes_back_soon() {
+fn a_held_request_is_refused_soon_if_no_room_appears() {
     let mut queue = queue();
     held(&mut queue, 0, 0.6);
     let (at, released) = (25..5_000)
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn nothing_is_held_that_would_be_late_anyway() {
+fn a_request_that_would_be_late_anyway_is_not_held() {
     let mut queue = EntryQueue::default();
     for _ in 0..200 {
         queue.answered("timetable", TARGET);
@@ -114,9 +115,10 @@
     }
 }
 
-/// How long it takes is not known after a start.
+/// After a start, it is not known how long requests on a route take, and so not how long they
+/// can wait.
 #[test]
-fn nothing_is_held_on_a_route_of_which_no_answer_was_seen() {
+fn no_request_is_held_on_a_route_without_answers() {
     let mut queue = EntryQueue::default();
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.2, ticket);
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn without_any_room_nothing_is_held() {
+fn without_any_room_no_request_is_held() {
     let mut queue = queue();
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.0, ticket);
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn the_request_of_a_caller_who_leaves_takes_no_memory() {
+fn the_request_of_a_caller_that_disconnects_takes_no_memory() {
     let mut queue = queue();
     let keys: Vec<_> = (0..20)
         .filter_map(|ticket| match offer(&mut queue, 0, 0.5, ticket) {
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn all_go_back_together() {
+fn all_held_requests_are_taken_out_together() {
     let mut queue = queue();
     held(&mut queue, 0, 0.5);
     held(&mut queue, 10, 0.5);
@@ -161,7 +163,7 @@
 }
 
 #[test]
-fn the_important_are_offered_first() {
+fn the_most_important_requests_are_offered_first() {
     let mut queue = queue::<u32>();
     let mut random = StdRng::seed_from_u64(1);
     for priority in [3, 1, 2] {
@@ -186,8 +188,9 @@
 }
 
 quickcheck! {
-    /// Whatever comes, in whatever order: what is held is counted, bounded, and comes out once.
-    fn each_comes_out_once(steps: Vec<(u16, u8, u32)>) -> TestResult {
+    /// Whatever requests are offered, in whatever order: those that are held are counted, their
+    /// bytes are bounded, and each is released once.
+    fn each_held_request_is_released_once(steps: Vec<(u16, u8, u32)>) -> TestResult {
         let mut queue = queue();
         let mut held = 0_usize;
         let mut now = Duration::ZERO;
@@ -213,104 +216,112 @@
     }
 }
 
-/// What entries do with a request for which there is no room at once.
+/// What entries do with a request for which there is no room now.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    /// By chance; refused callers come back once.
+enum Policy {
+    /// Admit or refuse by chance; refused callers retry once.
     Refuse,
     Hold,
 }
 
 /// Many entries before one service, whose room for the requests of one line changes.
 ///
-/// Entries know the chance as of some tenths of a second ago, as the share of what all of them
-/// offered that there was room for.
-struct Fleet {
-    way: Way,
-    entries: Vec<EntryQueue<Sent>>,
+/// Entries learn the chance some tenths of a second late. It is the share of the requests offered
+/// at all entries that there was room for.
+struct EntrySimulation {
+    policy: Policy,
+    entries: Vec<EntryQueue<SentRequest>>,
     random: StdRng,
-    /// Offers of the last spans, the oldest first.
+    /// Offers in the last steps, the oldest first.
     offers: VecDeque<f64>,
+    /// Chances that the entries don't know yet, the oldest first.
     chances: VecDeque<f64>,
-    returning: Vec<Sent>,
-    seen: Seen,
+    retrying: Vec<SentRequest>,
+    totals: Totals,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
-    at: Duration,
-    comes: Duration,
-    has_returned: bool,
+struct SentRequest {
+    first_sent: Duration,
+    arrives: Duration,
+    is_retry: bool,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Totals {
     sent: f64,
     in_time: f64,
     late: f64,
+    /// Refused again after the retry.
     refused: f64,
-    /// Held, and refused then.
-    held_in_vain: f64,
+    /// Held, and then refused.
+    held_then_refused: f64,
     held: f64,
-    /// Let in, by tenths of a second, beside the room there was.
-    let_in: Vec<LetIn>,
+    /// By step.
+    admissions: Vec<StepAdmissions>,
 }
 
+/// Requests admitted in a step, and how many there was room for.
 #[derive(Clone, Copy, Debug)]
-struct LetIn {
+struct StepAdmissions {
     count: f64,
     room: f64,
 }
 
-impl Seen {
+impl Totals {
     fn in_time_ratio(&self) -> f64 {
         self.in_time / self.sent
     }
 
-    /// The part of what was let in that was beyond the room of its second.
+    /// Requests admitted beyond the room of their second, as a share of all that were sent.
     fn beyond_room_ratio(&self) -> f64 {
-        let beyond = self.let_in.chunks(10).map(|second| {
-            let excess = second.iter().map(|span| span.count - span.room);
+        let beyond = self.admissions.chunks(10).map(|second| {
+            let excess = second.iter().map(|step| step.count - step.room);
             excess.sum::<f64>().max(0.0)
         });
         beyond.sum::<f64>() / self.sent
     }
 }
 
-const SPAN: Duration = Duration::from_millis(100);
+const STEP: Duration = Duration::from_millis(100);
 const ENTRIES: usize = 60;
-/// Spans over which a level is found, and after which it is known.
-const LEVEL_SPANS: usize = 5;
+/// Steps over which offers are averaged for the chance, and after which entries learn it.
+const CHANCE_STEPS: usize = 5;
 
-impl Fleet {
-    fn new(way: Way, seed: u64) -> Self {
+impl EntrySimulation {
+    fn new(policy: Policy, seed: u64) -> Self {
         Self {
-            way,
+            policy,
             entries: (0..ENTRIES).map(|_| queue()).collect(),
             random: StdRng::seed_from_u64(seed),
-            offers: VecDeque::from(vec![0.0; LEVEL_SPANS]),
-            chances: VecDeque::from(vec![1.0; LEVEL_SPANS]),
-            returning: Vec::new(),
-            seen: Seen::default(),
+            offers: VecDeque::from(vec![0.0; CHANCE_STEPS]),
+            chances: VecDeque::from(vec![1.0; CHANCE_STEPS]),
+            retrying: Vec::new(),
+            totals: Totals::default(),
         }
     }
 
-    /// One span in which so many come, with room for so many.
-    fn step(&mut self, now: Duration, coming: f64, room: f64) {
-        self.seen.let_in.push(LetIn { count: 0.0, room });
+    /// One step with `mean_arrivals` new requests on average and room for `room` requests.
+    fn step(&mut self, now: Duration, mean_arrivals: f64, room: f64) {
+        self.totals
+            .admissions
+            .push(StepAdmissions { count: 0.0, room });
         let chance = self.chances.pop_front().unwrap();
         let mut offers = 0.0;
-        let arriving = coming + coming.sqrt() * self.random.random_range(-1.7..1.7);
-        let fresh = (0..arriving.max(0.0) as u32).map(|_| Sent {
-            at: now,
-            comes: now,
-            has_returned: false,
+        let arrivals = mean_arrivals + mean_arrivals.sqrt() * self.random.random_range(-1.7..1.7);
+        let fresh = (0..arrivals.max(0.0) as u32).map(|_| SentRequest {
+            first_sent: now,
+            arrives: now,
+            is_retry: false,
         });
-        let (due, later) = self.returning.drain(..).partition(|sent| sent.comes <= now);
-        self.returning = later;
-        let coming: Vec<Sent> = Vec::into_iter(due).chain(fresh).collect();
-        for sent in coming {
-            self.seen.sent += f64::from(u8::from(!sent.has_returned));
+        let (due, later) = self
+            .retrying
+            .drain(..)
+            .partition(|sent| sent.arrives <= now);
+        self.retrying = later;
+        let arrived: Vec<SentRequest> = Vec::into_iter(due).chain(fresh).collect();
+        for sent in arrived {
+            self.totals.sent += f64::from(u8::from(!sent.is_retry));
             offers += 1.0;
             self.offer(now, sent, chance);
         }
@@ -321,9 +332,9 @@
             });
             for Released { ticket, outcome } in released {
                 match outcome {
-                    HoldOutcome::Room | HoldOutcome::Due => self.let_in(now, ticket),
+                    HoldOutcome::Room | HoldOutcome::Due => self.admit(now, ticket),
                     HoldOutcome::NoRoom { room_in } => {
-                        self.seen.held_in_vain += 1.0;
+                        self.totals.held_then_refused += 1.0;
                         self.refuse(now, ticket, room_in);
                     }
                 }
@@ -331,17 +342,17 @@
         }
         self.offers.pop_front();
         self.offers.push_back(offers);
-        let mean = self.offers.iter().sum::<f64>() / LEVEL_SPANS as f64;
+        let mean = self.offers.iter().sum::<f64>() / CHANCE_STEPS as f64;
         self.chances.push_back((room / mean.max(1e-3)).min(1.0));
     }
 
-    fn offer(&mut self, now: Duration, sent: Sent, chance: f64) {
+    fn offer(&mut self, now: Duration, sent: SentRequest, chance: f64) {
         if chance >= 1.0 {
-            return self.let_in(now, sent);
+            return self.admit(now, sent);
         }
-        if self.way == Way::Refuse {
+        if self.policy == Policy::Refuse {
             if self.random.random::<f64>() < chance {
-                return self.let_in(now, sent);
+                return self.admit(now, sent);
             }
             return self.refuse(now, sent, None);
         }
@@ -349,84 +360,90 @@
         let request = HoldRequest {
             line: &line(2),
             chance,
-            due: sent.at + TARGET,
+            due: sent.first_sent + TARGET,
             held_bytes: 1_000,
         };
         match self.entries[entry].offer(now, &request, sent, &mut self.random) {
-            HoldOffer::Admitted => self.let_in(now, sent),
-            HoldOffer::Held(_) => self.seen.held += 1.0,
+            HoldOffer::Admitted => self.admit(now, sent),
+            HoldOffer::Held(_) => self.totals.held += 1.0,
             HoldOffer::Refused { room_in } => self.refuse(now, sent, room_in),
         }
     }
 
-    fn let_in(&mut self, now: Duration, sent: Sent) {
-        self.seen.let_in.last_mut().unwrap().count += 1.0;
-        if now + NEEDED <= sent.at + TARGET + SPAN {
-            self.seen.in_time += 1.0;
+    fn admit(&mut self, now: Duration, sent: SentRequest) {
+        self.totals.admissions.last_mut().unwrap().count += 1.0;
+        if now + NEEDED <= sent.first_sent + TARGET + STEP {
+            self.totals.in_time += 1.0;
         } else {
-            self.seen.late += 1.0;
+            self.totals.late += 1.0;
         }
     }
 
-    fn refuse(&mut self, now: Duration, sent: Sent, room_in: Option<Duration>) {
-        if sent.has_returned {
-            self.seen.refused += 1.0;
+    fn refuse(&mut self, now: Duration, sent: SentRequest, room_in: Option<Duration>) {
+        if sent.is_retry {
+            self.totals.refused += 1.0;
             return;
         }
         let returns = RetryAfter {
             target_latency: TARGET,
-            time_left: Some((sent.at + 2 * TARGET).saturating_sub(now)),
+            time_left: Some((sent.first_sent + 2 * TARGET).saturating_sub(now)),
             short_for: Duration::ZERO,
             room_in,
         };
-        let comes = now + returns.draw(&mut self.random);
-        self.returning.push(Sent {
-            comes,
-            has_returned: true,
+        let arrives = now + returns.draw(&mut self.random);
+        self.retrying.push(SentRequest {
+            arrives,
+            is_retry: true,
             ..sent
         });
     }
 }
 
-/// A minute of so many requests a second, with room that is told by the second.
-fn play(way: Way, seed: u64, per_s: f64, room_per_s: impl Fn(f64) -> f64) -> Seen {
-    let mut fleet = Fleet::new(way, seed);
-    for span in 0..600 {
-        let now = SPAN * span;
+/// Simulates a minute with `per_s` requests a second and the room that `room_per_s` gives for
+/// each time in seconds.
+fn simulate(policy: Policy, seed: u64, per_s: f64, room_per_s: impl Fn(f64) -> f64) -> Totals {
+    let mut simulation = EntrySimulation::new(policy, seed);
+    for step in 0..600 {
+        let now = STEP * step;
         let room = room_per_s(now.as_secs_f64());
-        fleet.step(now, per_s / 10.0, room / 10.0);
+        simulation.step(now, per_s / 10.0, room / 10.0);
     }
-    fleet.seen
+    simulation.totals
 }
 
-/// Room for the least important swings with the demand of the others, every eleven seconds.
-fn swings(at_s: f64) -> f64 {
+/// Room for the least important requests, which rises and falls with the demand of the others in
+/// a period of eleven seconds.
+fn oscillating_room(at_s: f64) -> f64 {
     105.0 + 50.0 * (at_s * std::f64::consts::TAU / 11.0).sin()
 }
 
-/// Nearly none of them is let in for four seconds out of twelve.
-fn bursts(at_s: f64) -> f64 {
+/// Room for two fifths of the requests in four seconds out of twelve, and for more than all in
+/// the others.
+fn room_between_bursts(at_s: f64) -> f64 {
     if at_s % 12.0 < 4.0 { 40.0 } else { 140.0 }
 }
 
-macro_rules! holding {
+macro_rules! holding_gains {
     ($($name:ident: $room:expr, gains $gain:expr;)*) => {$(
+        /// Refused callers retry at random times, and many are refused again. With holding, more
+        /// requests are answered in time, the service is not overloaded more than without, a
+        /// third of the refusals is left at most, and hardly any held request is refused or late.
         #[test]
         fn $name() {
             for seed in 1..=5 {
-                let refused = play(Way::Refuse, seed, 100.0, $room);
-                let held = play(Way::Hold, seed, 100.0, $room);
+                let refused = simulate(Policy::Refuse, seed, 100.0, $room);
+                let held = simulate(Policy::Hold, seed, 100.0, $room);
                 assert!(held.in_time_ratio() >= refused.in_time_ratio() + $gain);
                 assert!(held.beyond_room_ratio() <= refused.beyond_room_ratio() + 0.02);
                 assert!(held.refused <= refused.refused / 3.0);
-                assert!(held.held_in_vain <= 0.01 * held.held);
+                assert!(held.held_then_refused <= 0.01 * held.held);
                 assert!(held.late <= 0.01 * held.sent);
             }
         }
     )*};
 }
 
-holding! {
-    a_swing_is_bridged: swings, gains 0.01;
-    a_burst_is_bridged: bursts, gains 0.01;
+holding_gains! {
+    holding_bridges_oscillations: oscillating_room, gains 0.01;
+    holding_bridges_bursts: room_between_bursts, gains 0.01;
 }
--- a/crates/kumquatquay-core/tests/routed/host_gate.rs
+++ b/crates/kumquatquay-core/tests/routed/host_gate.rs
@@ -1,4 +1,4 @@
-//! Who waits beside a backend server, and who is refused.
+//! Which calls run, wait or are refused at the gate beside a backend server.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A gate that lets `limit` calls run and has learnt that they take 20 ms.
+/// A gate that allows `limit` concurrent calls and has learnt that a call runs for 20 ms.
 fn gate(limit: usize) -> HostGate<&'static str> {
     let mut gate = HostGate::default();
     gate.set_limit_count(1);
@@ -48,9 +48,9 @@
     }
 }
 
-/// A backend server of 30 slots is full, and the last of eight calls of a whole
-/// request arrives. Turned away, it would end the request and waste the seven
-/// before it. It waits and runs as soon as a slot is free.
+/// The last of the eight calls of a request arrives while all 30 slots are in use. If it were
+/// refused, the request would fail and the work of the seven calls before it would be wasted.
+/// It is queued, and runs as soon as a slot is free.
 #[test]
 fn a_call_waits_for_a_slot() {
     let mut gate = gate(30);
@@ -62,10 +62,10 @@
     assert_eq!(gate.next(at_ms(3)), Some("late"));
 }
 
-/// Calls of three ranks wait; the slot that is freed goes to the most important
-/// one, and among equals to the earliest.
+/// Calls of three priorities wait. A freed slot goes to the most important call, and among
+/// equals to the one that arrived first.
 #[test]
-fn the_most_important_runs_first() {
+fn the_most_important_call_runs_first() {
     let mut gate = gate(1);
     fill(&mut gate, 1);
     for (priority, ticket) in [(2, "low"), (0, "first"), (1, "middle"), (0, "second")] {
@@ -79,11 +79,11 @@
     assert_eq!(order, ["first", "second", "middle", "low"]);
 }
 
-/// Thirty calls wait for one slot, 0.6 s of work. A call that has 300 ms left
-/// can't run in time; it is refused at once, so that its sender can go elsewhere,
-/// and doesn't wait to be late.
+/// Thirty calls wait for one slot, which is 0.6 s of work. A call with a deadline in 300 ms
+/// can't run in time. It is refused at once, so that its sender can try another backend server
+/// while there is time.
 #[test]
-fn a_call_that_would_be_late_is_refused_at_once() {
+fn a_call_that_would_miss_its_deadline_is_refused_at_once() {
     let mut gate = gate(1);
     fill(&mut gate, 1);
     for _ in 0..30 {
@@ -93,18 +93,18 @@
         gate.offer(at_ms(1), call(1, at_ms(300)), "urgent"),
         Admission::Refuse("urgent")
     );
-    // A more important one passes those that wait.
+    // A more important call is placed before those that wait.
     assert!(matches!(
         gate.offer(at_ms(1), call(0, at_ms(300)), "vital"),
         Admission::Wait(_)
     ));
 }
 
-/// Calls of one rank wait: people's status lookups that are due in 150 ms, and calls
-/// of runs under way that have 300. In the order of arrival the lookups would all be
-/// late behind a queue that the others can afford to stand in.
+/// Calls of one priority wait: status lookups by people, due in 150 ms, and calls that running
+/// requests make, due in 300 ms. In order of arrival the lookups would all be late behind calls
+/// that can afford to wait longer.
 #[test]
-fn among_equals_what_is_due_first_runs_first() {
+fn among_equals_the_call_due_first_runs_first() {
     let mut gate = gate(1);
     fill(&mut gate, 1);
     let due_at = |due_ms| GateCall {
@@ -120,10 +120,11 @@
     assert_eq!(gate.next(at_ms(3)), Some("of a person"));
 }
 
-/// A stall of a third of a second has made five calls late; two that can still be in time came after
-/// them. Run in the order in which they are due, all seven are late.
+/// A stall of a third of a second has made five calls late; two that can still be in time
+/// arrived after them. Run in the order of their due times, all seven are late. With late calls
+/// moved behind the others, the two are in time.
 #[test]
-fn what_is_late_anyway_does_not_make_others_late() {
+fn calls_that_are_late_anyway_do_not_make_others_late() {
     let due_at = |due_ms| GateCall {
         due: at_ms(due_ms),
         ..call(1, at_ms(5_000))
@@ -156,13 +157,13 @@
     assert_eq!(timely_count(QueueOrder::LateLast), 2);
 }
 
-/// A call that waits and has become late in the meantime is still found by its key.
+/// A call that has become late while it waited is still found by its key.
 #[test]
 fn a_call_that_became_late_can_be_withdrawn() {
     let mut gate = gate(1);
     fill(&mut gate, 1);
     let Admission::Wait(key) = gate.offer(at_ms(1), call(1, at_ms(5_000)), "late") else {
-        panic!("it waits");
+        panic!("the call should wait");
     };
     gate.offer(
         at_ms(1),
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_call_whose_time_is_over_does_not_run() {
+fn a_call_past_its_deadline_does_not_run() {
     let mut gate = gate(1);
     fill(&mut gate, 1);
     gate.offer(at_ms(1), call(1, at_ms(100)), "late");
@@ -192,26 +193,26 @@
     let mut gate = gate(1);
     fill(&mut gate, 1);
     let Admission::Wait(key) = gate.offer(at_ms(1), call(1, at_ms(5_000)), "left") else {
-        panic!("it waits");
+        panic!("the call should wait");
     };
     assert_eq!(gate.withdraw(key), Some("left"));
     gate.ended(None);
     assert_eq!(gate.next(at_ms(2)), None);
 }
 
-/// A node short of processor time reads answers late: of 78 calls that it counts,
-/// the backend server has finished 12. Slots stand empty there while calls wait here,
-/// and whole requests are refused for want of them.
+/// A node short of processor time reads answers late: the backend server has finished 12 of
+/// the 78 calls that the node counts as running. If calls in transit took slots, 12 slots would
+/// be idle while calls wait here, and requests would be refused for lack of slots.
 #[test]
-fn calls_on_their_way_take_no_slots() {
+fn calls_in_transit_take_no_slots() {
     let mut gate = gate(78);
     fill(&mut gate, 78);
-    let told = BackendLoad {
+    let reported = BackendLoad {
         running_count: 66,
         waiting_count: 0,
     };
     for _ in 0..1_000 {
-        gate.on_backend_load(told);
+        gate.on_backend_load(reported);
     }
     let mut more_count = 0;
     while gate.offer(at_ms(0), call(0, at_ms(10_000)), "more") == Admission::Run {
@@ -220,10 +221,11 @@
     assert!((11..=12).contains(&more_count), "{more_count}");
 }
 
-/// A backend server tells that it runs nothing, whatever it has. Believed, it would
-/// get call after call until its own queue is full and it turns them away.
+/// A backend server always reports that it runs nothing. If all its calls were taken to be in
+/// transit, it would get more of them until its own queue is full and it turns them away. The
+/// gate makes up for a quarter of its limit at most.
 #[test]
-fn a_load_that_misleads_fills_no_queue() {
+fn an_underreported_load_does_not_flood_the_backend_server() {
     let mut gate = gate(80);
     for _ in 0..10_000 {
         let admission = gate.offer(at_ms(0), call(0, at_ms(10_000)), "call");
@@ -238,10 +240,10 @@
     assert_eq!(gate.report(at_ms(0), 1.0).running_count, 100);
 }
 
-/// Calls that wait in the backend server's own queue are there: none more is handed
-/// over for them.
+/// Calls in the backend server's own queue have arrived there, so no further calls are handed
+/// over in their place.
 #[test]
-fn calls_in_the_queue_of_the_backend_server_are_not_on_their_way() {
+fn calls_queued_at_the_backend_server_are_not_in_transit() {
     let mut gate = gate(30);
     fill(&mut gate, 30);
     for _ in 0..1_000 {
@@ -256,30 +258,30 @@
 
 quickcheck! {
     /// No call is refused or evicted while a less important one stays in the queue.
-    fn the_least_important_goes_first(priorities: Vec<u8>) -> bool {
+    fn the_least_important_call_is_removed_first(priorities: Vec<u8>) -> bool {
         let mut gate = HostGate::default();
         gate.set_limit_count(1);
         gate.offer(at_ms(0), call(0, at_ms(100_000)), 0);
         let mut waiting: Vec<u32> = Vec::new();
         for priority in priorities.into_iter().cycle().take(200) {
             let priority = u32::from(priority % 4);
-            let gone = match gate.offer(at_ms(0), call(priority, at_ms(1_000_000)), priority) {
+            let removed = match gate.offer(at_ms(0), call(priority, at_ms(1_000_000)), priority) {
                 Admission::Run => return false,
                 Admission::Wait(_) => None,
-                Admission::Evict(_, gone) => {
-                    // All are of one size: one makes room for one.
-                    if gone.len() != 1 {
+                Admission::Evict(_, removed) => {
+                    // All calls have the same run time, so one evicted call is enough.
+                    if removed.len() != 1 {
                         return false;
                     }
-                    gone.into_iter().next()
+                    removed.into_iter().next()
                 }
-                Admission::Refuse(gone) => Some(gone),
+                Admission::Refuse(removed) => Some(removed),
             };
             waiting.push(priority);
-            if let Some(gone) = gone {
-                let place = waiting.iter().rposition(|priority| *priority == gone).unwrap();
-                waiting.remove(place);
-                if waiting.iter().any(|stays| *stays > gone) {
+            if let Some(removed) = removed {
+                let position = waiting.iter().rposition(|priority| *priority == removed).unwrap();
+                waiting.remove(position);
+                if waiting.iter().any(|remaining| *remaining > removed) {
                     return false;
                 }
             }
@@ -288,10 +290,11 @@
     }
 }
 
-/// Nothing has run yet at a backend server that has just joined: its gate tells no time
-/// in place of a guess, and after the first call the time of that one.
+/// A backend server that has just joined has run no call yet. Its gate reports a run time of 0,
+/// which means unknown, instead of a guess; after the first call, it reports the time of that
+/// one.
 #[test]
-fn the_time_of_a_call_is_told_once_one_has_ended() {
+fn the_run_time_is_reported_once_a_call_has_ended() {
     let mut gate = HostGate::<&str>::default();
     gate.set_limit_count(4);
     assert_eq!(gate.report(at_ms(0), 1.0).work_us, 0);
@@ -299,29 +302,29 @@
     assert_eq!(gate.report(at_ms(0), 1.0).work_us, 22_000);
 }
 
-/// A service that is short has a queue of calls on one route, which searches made, and then
-/// one that a registration made. In the order of their arrival the registration would lose its
-/// call as often as any search; it is the next to run.
+/// At an overloaded service, calls of one route wait that were made for search requests, and
+/// then one that was made for a registration, which is more important. In order of arrival the
+/// registration would lose its call as often as a search. Instead, its call is the next to run.
 #[test]
-fn calls_of_one_route_run_by_the_rank_of_the_whole_request() {
+fn calls_of_one_route_run_by_the_priority_of_their_request() {
     let mut gate = HostGate::default();
     gate.set_limit_count(1);
-    let of_whole = |whole_priority| GateCall {
+    let call_for = |whole_priority| GateCall {
         whole_priority,
         ..call(3, at_ms(10_000))
     };
     assert!(matches!(
-        gate.offer(at_ms(0), of_whole(2), "runs"),
+        gate.offer(at_ms(0), call_for(2), "runs"),
         Admission::Run
     ));
     for _ in 0..5 {
         assert!(matches!(
-            gate.offer(at_ms(1), of_whole(2), "search"),
+            gate.offer(at_ms(1), call_for(2), "search"),
             Admission::Wait(_)
         ));
     }
     assert!(matches!(
-        gate.offer(at_ms(2), of_whole(0), "registration"),
+        gate.offer(at_ms(2), call_for(0), "registration"),
         Admission::Wait(_)
     ));
     gate.ended(None);
--- a/crates/kumquatquay-core/tests/routed/server_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit that a backend server advertises, alone and at a gate, in virtual time.
+//! The rate limit that a backend server advertises, by itself and at a gate, in simulated time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -13,17 +13,18 @@
 
 use crate::at_ms;
 
-/// Calls in any such span are held against the limit.
+/// Length of the sliding window in which calls are compared with the limit.
 const WINDOW_MS: u64 = 4_000;
 
-/// Time after the first naming in which nodes may still settle.
+/// Time after the first advertised limit that no checked window may include.
 const SETTLING_MS: u64 = 3_000;
 
-/// How often the arrivals are held against the limit.
-const LOOK_MS: u64 = 10;
+/// How often the arrivals are compared with the limit.
+const CHECK_INTERVAL_MS: u64 = 10;
 
-/// Time after which a caller that was told counts.
-const TOLD_MS: u64 = 500;
+/// Time after the first report of a limit to a caller from which on its calls count, and for which
+/// a higher limit is still allowed after it has changed.
+const REPORT_DELAY_MS: u64 = 500;
 
 fn life(name: &str) -> BackendLife {
     BackendLife::untold(String::from(name))
@@ -48,8 +49,9 @@
     }
 }
 
-/// Takes all that may begin in a span, looked at each millisecond.
-fn taken(limit: &mut ServerLimit, from_ms: u64, to_ms: u64) -> usize {
+/// Takes a token whenever there is one, at each millisecond from `from_ms` to `to_ms`, and counts
+/// them.
+fn take_all(limit: &mut ServerLimit, from_ms: u64, to_ms: u64) -> usize {
     let mut count = 0;
     for ms in from_ms..to_ms {
         while limit.has_token(at_ms(ms)) {
@@ -64,11 +66,11 @@
 macro_rules! takes_what_is_advertised {
     ($($name:ident: $per_s:expr;)*) => {
         $(
-            /// Whoever is short of room is kept at its limit, and no further below it than a tenth.
+            /// While there are always calls to begin, their rate is the limit or up to a tenth less.
             #[test]
             fn $name() {
                 let mut limit = limited($per_s);
-                let count = taken(&mut limit, 0, 60_000) as f64;
+                let count = take_all(&mut limit, 0, 60_000) as f64;
                 assert!(count <= 60.0 * $per_s + 1.0, "{count}");
                 assert!(count >= 0.9 * 60.0 * $per_s, "{count}");
             }
@@ -83,18 +85,19 @@
     a_thousand: 1_000.0;
 }
 
-/// A backend server that takes nothing gets a call now and then: without any it could never say
-/// that its limit is over.
+/// A backend server that takes no calls still gets one every five seconds as a probe: without any
+/// calls, it could never answer that its limit has ended.
 #[test]
-fn a_limit_of_none_is_tried() {
+fn a_limit_of_zero_lets_probes_through() {
     let mut limit = limited(0.0);
-    let count = taken(&mut limit, 0, 60_000);
+    let count = take_all(&mut limit, 0, 60_000);
     assert!((10..=12).contains(&count), "{count}");
 }
 
-/// The tokens of the higher limit would all be taken at once under the lower one.
+/// Tokens left from a higher limit could all be taken at once under the lower one, so they are
+/// capped when the limit falls.
 #[test]
-fn a_limit_that_falls_leaves_no_burst() {
+fn a_lowered_limit_leaves_no_burst() {
     let mut limit = limited(1_000.0);
     limit.on_answer(
         at_ms(10_000),
@@ -102,18 +105,19 @@
         at_ms(9_990),
         AdvertisedLimit::PerSecond(1.0),
     );
-    assert!(taken(&mut limit, 10_000, 14_000) <= 5);
+    assert!(take_all(&mut limit, 10_000, 14_000) <= 5);
 }
 
-/// After a pause the calls of a quarter of a second may begin at once, and one.
+/// After a pause, as many calls as the limit allows in a quarter of a second may begin at once,
+/// and one more.
 #[test]
-fn a_pause_saves_little_up() {
+fn the_burst_after_a_pause_is_small() {
     let mut limit = limited(40.0);
-    assert_eq!(taken(&mut limit, 60_000, 60_001), 11);
+    assert_eq!(take_all(&mut limit, 60_000, 60_001), 11);
 }
 
-/// An answer to a long run was written before the server named its limit and is read behind one
-/// that names it. Taken for news it would let the whole load through.
+/// The answer of a long run was written before the server advertised its limit, and is read after
+/// one that advertises it. If it were taken for the latest state, all calls would be let through.
 #[test]
 fn an_answer_to_an_earlier_run_does_not_end_a_limit() {
     let mut limit = limited(1.0);
@@ -141,7 +145,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_changes_nothing() {
+fn a_malformed_limit_changes_nothing() {
     let mut limit = limited(2.0);
     let change = limit.on_answer(
         at_ms(2_000),
@@ -153,7 +157,7 @@
 }
 
 #[test]
-fn another_life_begins_without_a_limit() {
+fn another_life_starts_without_a_limit() {
     let mut limit = limited(2.0);
     limit.on_life(&life("a"));
     assert_eq!(limit.per_s(), Some(2.0));
@@ -161,16 +165,16 @@
     assert_eq!(limit.per_s(), None);
 }
 
-/// A node that has just started learns the id of a life first and its start later. It is the same
-/// life, and its limit holds.
+/// A node that has just started learns the id of a life first and its start time later. It is the
+/// same life, so its limit still applies.
 #[test]
-fn a_limit_holds_when_the_start_of_its_life_is_told() {
+fn a_limit_stays_when_the_start_of_its_life_becomes_known() {
     let mut limit = limited(2.0);
-    let told = BackendLife {
+    let with_start = BackendLife {
         born_unix_ms: Some(7),
         ..life("a")
     };
-    limit.on_life(&told);
+    limit.on_life(&with_start);
     assert_eq!(limit.per_s(), Some(2.0));
     limit.on_answer(
         at_ms(9),
@@ -187,10 +191,10 @@
     assert_eq!(limit.per_s(), None);
 }
 
-/// A node starts anew beside a limited backend server: what its callers were told holds, the
-/// newest first, until the backend server answers itself.
+/// A node restarts beside a rate limited backend server. The newest limit that its callers know
+/// applies until the backend server itself answers.
 #[test]
-fn callers_tell_a_node_that_starts_anew() {
+fn a_restarted_node_learns_the_limit_from_its_callers() {
     let mut limit = ServerLimit::default();
     limit.on_life(&life("a"));
     let of_another = limit.on_told(at_ms(10), &life("b"), known(9.0, 0));
@@ -206,7 +210,7 @@
     assert_eq!(limit.per_s(), None);
 }
 
-/// A caller leaves before its call was handed over: another one may begin in its place.
+/// A caller disconnects before its call was handed over: another call may begin in its place.
 #[test]
 fn a_call_that_was_not_handed_over_costs_nothing() {
     let mut limit = limited(1.0);
@@ -242,7 +246,8 @@
     gate
 }
 
-/// A call that would wait for seconds is refused at once, and told why: others may have room.
+/// A call that would wait for a second is refused at once with the rate limit as the reason:
+/// another backend server may have room.
 #[test]
 fn a_call_does_not_wait_long_for_a_limit() {
     let mut gate = limited_gate(1.0);
@@ -258,10 +263,10 @@
     assert_eq!(gate.next(at_ms(1_001)), Some(2));
 }
 
-/// Many wait for slots when the limit comes. Those who would wait for seconds are sent elsewhere,
-/// the least important first.
+/// Many calls wait for a slot when the limit is first advertised. Those that would wait too long
+/// for it are removed, the least important first, so that they can be sent elsewhere.
 #[test]
-fn a_limit_that_comes_sheds_the_least_important() {
+fn a_new_limit_sheds_the_least_important() {
     let mut gate = HostGate::default();
     gate.set_limit_count(1);
     gate.server_limit_mut().on_life(&life("a"));
@@ -278,10 +283,10 @@
     assert!(shed[..10].iter().all(|ticket| ticket % 2 == 1));
 }
 
-/// A limit counts for the level as the slots do that it leaves: with a twentieth of the calls a
-/// second that the slots could run, a twentieth is let in.
+/// A rate limit counts as the number of slots that it can keep in use: 20 calls a second of 50 ms
+/// each keep one of the 100 slots in use.
 #[test]
-fn a_limit_is_told_as_room() {
+fn a_limit_reduces_the_reported_slots() {
     let mut gate = limited_gate(20.0);
     for _ in 0..100 {
         let run = RouteRun {
@@ -296,33 +301,36 @@
     assert_eq!(report.rate.unwrap().limit_milli_per_s, 20_000);
 }
 
-/// One backend server, its gate, and callers on other hosts that know what they were told.
-struct Model {
+/// Simulates one backend server, its gate, and callers on other hosts that know the limits that
+/// were reported to them.
+struct Simulation {
     random: StdRng,
     now_ms: u64,
     gate: HostGate<Ticket>,
-    /// Callers of calls that wait, by ticket.
+    /// Callers of all calls, by ticket.
     callers: Vec<usize>,
-    /// Calls at the backend server: when they end, when they began, whose they are.
+    /// Calls at the backend server: end, start, caller.
     running: Vec<(u64, u64, usize)>,
     limit: AdvertisedLimit,
-    first_named_ms: Option<u64>,
-    /// The limit in calls a second, at each look; endless where none is named.
+    first_advertised_ms: Option<u64>,
+    /// The advertised limit in calls a second, at each check; infinite without a limit.
     limits: Vec<f64>,
-    /// The highest limit of the last half second, at each look.
+    /// The highest of the limits in the last half second, at each check.
     allowed: Vec<f64>,
-    /// What each caller was told, when, and when it was first told of a limit.
-    told: Vec<Option<(KnownLimit, u64)>>,
-    first_told_ms: Vec<Option<u64>>,
+    /// The limit that was last reported to each caller, and when.
+    reported: Vec<Option<(KnownLimit, u64)>>,
+    /// When a limit was first reported to each caller.
+    first_reported_ms: Vec<Option<u64>>,
+    /// Calls in the window that count: start, caller.
     arrivals: VecDeque<(u64, usize)>,
     arrivals_count: usize,
     most_excess: f64,
 }
 
-/// Callers of the model.
+/// Callers in the simulation.
 const CALLERS_COUNT: usize = 8;
 
-/// Slots of its backend server.
+/// Slots of the backend server in the simulation.
 const SLOTS: usize = 60;
 
 fn new_gate() -> HostGate<Ticket> {
@@ -332,7 +340,7 @@
     gate
 }
 
-impl Model {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             random: StdRng::seed_from_u64(seed),
@@ -341,30 +349,31 @@
             callers: Vec::new(),
             running: Vec::new(),
             limit: AdvertisedLimit::None,
-            first_named_ms: None,
+            first_advertised_ms: None,
             limits: Vec::new(),
             allowed: Vec::new(),
-            told: vec![None; CALLERS_COUNT],
-            first_told_ms: vec![None; CALLERS_COUNT],
+            reported: vec![None; CALLERS_COUNT],
+            first_reported_ms: vec![None; CALLERS_COUNT],
             arrivals: VecDeque::new(),
             arrivals_count: 0,
             most_excess: f64::NEG_INFINITY,
         }
     }
 
-    /// The node beside the backend server starts anew; calls that waited there are lost.
+    /// The node beside the backend server restarts; the calls that waited there are lost.
     fn restart(&mut self) {
         self.gate = new_gate();
     }
 
-    fn name(&mut self, per_s: Option<f64>) {
+    /// The backend server changes the limit that it advertises.
+    fn advertise(&mut self, per_s: Option<f64>) {
         self.limit = per_s.map_or(AdvertisedLimit::None, AdvertisedLimit::PerSecond);
         if per_s.is_some() {
-            self.first_named_ms.get_or_insert(self.now_ms);
+            self.first_advertised_ms.get_or_insert(self.now_ms);
         }
     }
 
-    /// One millisecond in which calls arrive at this rate.
+    /// Simulates one millisecond in which calls arrive at this rate.
     fn step(&mut self, offered_per_s: f64) {
         let now = at_ms(self.now_ms);
         self.end_runs();
@@ -376,8 +385,8 @@
             self.offer();
             due -= 1.0;
         }
-        if self.now_ms.is_multiple_of(LOOK_MS) {
-            self.look();
+        if self.now_ms.is_multiple_of(CHECK_INTERVAL_MS) {
+            self.check_window();
         }
         self.now_ms += 1;
     }
@@ -385,8 +394,8 @@
     fn offer(&mut self) {
         let now = at_ms(self.now_ms);
         let caller = self.random.random_range(0..CALLERS_COUNT);
-        if let Some((known, told_ms)) = self.told[caller] {
-            let age_ms = self.now_ms - told_ms;
+        if let Some((known, reported_ms)) = self.reported[caller] {
+            let age_ms = self.now_ms - reported_ms;
             let known = KnownLimit { age_ms, ..known };
             self.gate.server_limit_mut().on_told(now, &life("a"), known);
         }
@@ -403,8 +412,8 @@
         self.running
             .push((self.now_ms + takes_ms, self.now_ms, caller));
         self.arrivals_count += 1;
-        let told_ms = self.first_told_ms[caller];
-        if told_ms.is_some_and(|told_ms| told_ms + TOLD_MS <= self.now_ms) {
+        let reported_ms = self.first_reported_ms[caller];
+        if reported_ms.is_some_and(|reported_ms| reported_ms + REPORT_DELAY_MS <= self.now_ms) {
             self.arrivals.push_back((self.now_ms, caller));
         }
     }
@@ -429,7 +438,7 @@
                 work: at_ms(self.now_ms - began_ms),
             }));
             let rate = self.gate.report(now, 1.0).rate;
-            self.told[caller] = rate.map(|rate| {
+            self.reported[caller] = rate.map(|rate| {
                 let limit_milli_per_s = rate.limit_milli_per_s;
                 let known = KnownLimit {
                     limit_milli_per_s,
@@ -438,20 +447,20 @@
                 (known, self.now_ms)
             });
             if matches!(self.limit, AdvertisedLimit::PerSecond(_)) {
-                self.first_told_ms[caller].get_or_insert(self.now_ms);
+                self.first_reported_ms[caller].get_or_insert(self.now_ms);
             }
         }
     }
 
-    /// Holds the last span against what the limit allows in it. News of a limit needs an answer to
-    /// travel: at each moment the highest one of the last half second counts.
-    fn look(&mut self) {
+    /// Compares the calls in the last window with the limit. Callers learn of a limit only with
+    /// an answer, so at each time the highest limit of the last half second is allowed.
+    fn check_window(&mut self) {
         self.limits.push(match self.limit {
             AdvertisedLimit::PerSecond(per_s) => per_s,
             _ => f64::INFINITY,
         });
-        let told_looks = (TOLD_MS / LOOK_MS) as usize;
-        let recent = self.limits.iter().rev().take(told_looks + 1);
+        let delay_checks = (REPORT_DELAY_MS / CHECK_INTERVAL_MS) as usize;
+        let recent = self.limits.iter().rev().take(delay_checks + 1);
         self.allowed.push(recent.copied().fold(0.0, f64::max));
         while let Some((at_ms, _)) = self.arrivals.front()
             && at_ms + WINDOW_MS <= self.now_ms
@@ -460,42 +469,43 @@
         }
         let from_ms = self.now_ms.saturating_sub(WINDOW_MS);
         let is_settled = self
-            .first_named_ms
-            .is_some_and(|named_ms| named_ms + SETTLING_MS <= from_ms);
+            .first_advertised_ms
+            .is_some_and(|advertised_ms| advertised_ms + SETTLING_MS <= from_ms);
         if !is_settled {
             return;
         }
-        let window_looks = (WINDOW_MS / LOOK_MS) as usize;
-        let allowed = self.allowed.iter().rev().take(window_looks);
-        let allowed = allowed.sum::<f64>() * at_ms(LOOK_MS).as_secs_f64();
+        let window_checks = (WINDOW_MS / CHECK_INTERVAL_MS) as usize;
+        let allowed = self.allowed.iter().rev().take(window_checks);
+        let allowed = allowed.sum::<f64>() * at_ms(CHECK_INTERVAL_MS).as_secs_f64();
         let excess = self.arrivals.len() as f64 - (1.5 * allowed + 5.0);
         self.most_excess = self.most_excess.max(excess);
     }
 }
 
-/// A backend server names limits, other ones, and none for a while, and the node beside it
-/// starts anew again and again while its callers press on.
+/// A backend server advertises changing limits, and at times none, while the node beside it
+/// restarts again and again and forgets the limit. Callers go on sending, and no window may have
+/// more than one and a half times the calls that the limit allows, and five.
 #[test]
-fn no_window_is_over_the_limit_while_nodes_restart() {
+fn no_window_exceeds_the_limit_while_nodes_restart() {
     for seed in 0..40 {
-        let mut model = Model::new(seed);
-        let offered_per_s = *[20.0, 80.0, 300.0].choose(&mut model.random).unwrap();
+        let mut simulation = Simulation::new(seed);
+        let offered_per_s = *[20.0, 80.0, 300.0].choose(&mut simulation.random).unwrap();
         for ms in 0..40_000 {
-            if ms >= 2_000 && model.random.random_ratio(1, 5_000) || ms == 2_000 {
+            if ms >= 2_000 && simulation.random.random_ratio(1, 5_000) || ms == 2_000 {
                 let limits = [0.0, 0.4, 1.0, 1.6, 5.0, 41.9, 1_000.0];
-                let limit = *limits.choose(&mut model.random).unwrap();
-                model.name(Some(limit));
+                let limit = *limits.choose(&mut simulation.random).unwrap();
+                simulation.advertise(Some(limit));
             }
-            if ms >= 2_000 && model.random.random_ratio(1, 20_000) {
-                model.name(None);
+            if ms >= 2_000 && simulation.random.random_ratio(1, 20_000) {
+                simulation.advertise(None);
             }
-            if model.random.random_ratio(1, 3_000) {
-                model.restart();
+            if simulation.random.random_ratio(1, 3_000) {
+                simulation.restart();
             }
-            model.step(offered_per_s);
+            simulation.step(offered_per_s);
         }
-        assert!(model.first_named_ms.is_some());
-        let excess = model.most_excess;
+        assert!(simulation.first_advertised_ms.is_some());
+        let excess = simulation.most_excess;
         assert!(
             excess <= 0.0,
             "seed {seed}: {excess} calls over what is allowed"
@@ -503,20 +513,21 @@
     }
 }
 
-/// While enough is offered, a limited backend server gets what it takes.
+/// While callers send more calls than the limit allows, a rate limited backend server gets at
+/// least nine tenths of it.
 #[test]
 fn nine_tenths_of_a_limit_are_used() {
     for (seed, per_s) in [1.0, 1.6, 5.0, 41.9, 120.0].into_iter().enumerate() {
-        let mut model = Model::new(seed as u64);
-        model.name(Some(per_s));
+        let mut simulation = Simulation::new(seed as u64);
+        simulation.advertise(Some(per_s));
         for _ in 0..5_000 {
-            model.step(2.0 * per_s + 20.0);
+            simulation.step(2.0 * per_s + 20.0);
         }
-        let before = model.arrivals_count;
+        let before = simulation.arrivals_count;
         for _ in 0..30_000 {
-            model.step(2.0 * per_s + 20.0);
+            simulation.step(2.0 * per_s + 20.0);
         }
-        let used = (model.arrivals_count - before) as f64 / (30.0 * per_s);
+        let used = (simulation.arrivals_count - before) as f64 / (30.0 * per_s);
         assert!(used >= 0.9, "{used} of {per_s} a second");
     }
 }
--- a/crates/kumquatquay-core/tests/routed/target_table.rs
+++ b/crates/kumquatquay-core/tests/routed/target_table.rs
@@ -1,4 +1,4 @@
-//! Which backend server a call goes to.
+//! The choice of the backend server for a call.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Hosts 1 and 2 in the own data centre, 3 in another one.
+/// A table with hosts 1 and 2 in the own data centre and host 3 in another one.
 fn table() -> (TargetTable, StdRng) {
     let members = [
         member(1, "near", MemberState::Serving),
@@ -55,12 +55,16 @@
     (table, StdRng::seed_from_u64(1))
 }
 
-fn tell(table: &mut TargetTable, host: u8, how: TargetEnded, report: GateReport) {
+fn end_call(table: &mut TargetTable, host: u8, how: TargetEnded, report: GateReport) {
     table.ended(at_ms(0), address(host), how, Some(report));
 }
 
-/// Sends `count` calls that all end at once, and counts where they went.
-fn spread(table: &mut TargetTable, random: &mut StdRng, count: usize) -> BTreeMap<u8, usize> {
+/// Sends `count` calls, each of which ends at once, and counts them by host.
+fn calls_by_host(
+    table: &mut TargetTable,
+    random: &mut StdRng,
+    count: usize,
+) -> BTreeMap<u8, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..count {
         let choice = table
@@ -78,50 +82,50 @@
 #[test]
 fn calls_stay_in_the_own_data_centre_while_there_is_room() {
     let (mut table, mut random) = table();
-    let counts = spread(&mut table, &mut random, 100);
+    let counts = calls_by_host(&mut table, &mut random, 100);
     assert_eq!(counts.get(&3), None);
 }
 
 #[test]
-fn calls_spill_over_when_the_own_data_centre_is_full() {
+fn calls_go_to_another_data_centre_when_the_own_one_is_full() {
     let (mut table, mut random) = table();
     for host in [1, 2] {
-        tell(&mut table, host, TargetEnded::Answered, report(25, 20));
+        end_call(&mut table, host, TargetEnded::Answered, report(25, 20));
     }
-    tell(&mut table, 3, TargetEnded::Answered, report(2, 20));
-    let counts = spread(&mut table, &mut random, 5);
+    end_call(&mut table, 3, TargetEnded::Answered, report(2, 20));
+    let counts = calls_by_host(&mut table, &mut random, 5);
     assert_eq!(counts.get(&3), Some(&5));
 }
 
-/// One server needs 16 ms for a call and is nearly full, the other 38 ms and is half
-/// empty. Sent to the fast one, calls queue there, its gate tells that the service has
-/// no room, and whole requests are refused beside idle slots.
+/// One server runs a call in 16 ms and all its slots are in use, the other runs it in 38 ms and
+/// half of its slots are idle. Calls sent to the fast one would queue there, its gate would report
+/// that the service has no room, and requests would be refused while slots are idle.
 #[test]
 fn a_slow_server_is_filled_before_a_fast_one_has_a_queue() {
     let (mut table, mut random) = table();
-    tell(&mut table, 1, TargetEnded::Answered, report(10, 16));
-    tell(&mut table, 2, TargetEnded::Answered, report(5, 38));
-    let counts = spread(&mut table, &mut random, 2);
+    end_call(&mut table, 1, TargetEnded::Answered, report(10, 16));
+    end_call(&mut table, 2, TargetEnded::Answered, report(5, 38));
+    let counts = calls_by_host(&mut table, &mut random, 2);
     assert_eq!(counts.get(&1), None);
 }
 
-/// Both have a queue: the shorter one is joined, whatever the speeds.
+/// Both servers have queues: the one with the shorter queue is chosen, whatever their speeds.
 #[test]
-fn among_crowded_servers_the_emptier_is_chosen() {
+fn among_crowded_servers_the_less_loaded_is_chosen() {
     let (mut table, mut random) = table();
-    tell(&mut table, 1, TargetEnded::Answered, report(20, 16));
-    tell(&mut table, 2, TargetEnded::Answered, report(11, 38));
-    let counts = spread(&mut table, &mut random, 2);
+    end_call(&mut table, 1, TargetEnded::Answered, report(20, 16));
+    end_call(&mut table, 2, TargetEnded::Answered, report(11, 38));
+    let counts = calls_by_host(&mut table, &mut random, 2);
     assert_eq!(counts.get(&1), None);
 }
 
-/// With room on both sides a call goes where it is answered first.
+/// While both servers have idle slots, the one that is expected to answer first is chosen.
 #[test]
-fn a_fast_server_with_room_goes_before_a_slow_one() {
+fn a_fast_server_with_room_is_preferred() {
     let (mut table, mut random) = table();
-    tell(&mut table, 1, TargetEnded::Answered, report(6, 16));
-    tell(&mut table, 2, TargetEnded::Answered, report(1, 38));
-    let counts = spread(&mut table, &mut random, 1);
+    end_call(&mut table, 1, TargetEnded::Answered, report(6, 16));
+    end_call(&mut table, 2, TargetEnded::Answered, report(1, 38));
+    let counts = calls_by_host(&mut table, &mut random, 1);
     assert_eq!(counts.get(&1), Some(&1));
 }
 
@@ -129,17 +133,18 @@
 fn a_host_that_fails_is_chosen_last() {
     let (mut table, mut random) = table();
     for _ in 0..20 {
-        tell(&mut table, 1, TargetEnded::Failed, report(1, 20));
+        end_call(&mut table, 1, TargetEnded::Failed, report(1, 20));
     }
-    tell(&mut table, 2, TargetEnded::Answered, report(5, 20));
-    let counts = spread(&mut table, &mut random, 3);
+    end_call(&mut table, 2, TargetEnded::Answered, report(5, 20));
+    let counts = calls_by_host(&mut table, &mut random, 3);
     assert_eq!(counts.get(&1), None);
 }
 
-/// The link to a host is lost. Calls that tried it again and again would each wait
-/// for the connection's timeout; one that tries it after a pause finds out.
+/// The link to a host is lost. If calls went on trying it, each of them would wait for the
+/// connection's timeout. One call that tries it after a pause is enough to find out whether it
+/// is back.
 #[test]
-fn a_host_whose_link_was_lost_is_left_out_for_a_while() {
+fn a_host_is_not_chosen_for_some_time_after_its_link_was_lost() {
     let (mut table, mut random) = table();
     table.ended(at_ms(0), address(1), TargetEnded::Lost, None);
     let excluded = [address(2), address(3)];
@@ -152,7 +157,7 @@
 }
 
 #[test]
-fn what_drains_gets_nothing() {
+fn a_draining_host_gets_no_calls() {
     let mut table = TargetTable::default();
     let members = [member(1, "near", MemberState::Draining)];
     table.rebuild("near", members.iter());
@@ -163,10 +168,10 @@
     );
 }
 
-/// A backend server was replaced at the same address. What was learnt of the one
-/// before, here that its link was lost, says nothing of the new one.
+/// A backend server is replaced by another one at the same address. What was learnt about the
+/// previous one, here that its link was lost, doesn't apply to the new one.
 #[test]
-fn a_new_life_begins_with_nothing_known() {
+fn a_new_life_starts_without_what_was_learnt_about_the_previous_one() {
     let (mut table, mut random) = table();
     table.ended(at_ms(0), address(1), TargetEnded::Lost, None);
     let mut replaced = member(1, "near", MemberState::Serving);
@@ -178,8 +183,10 @@
     assert_eq!(choice.life, Some(BackendLife::untold("new")));
 }
 
-/// A backend server joins a service whose others run calls in 22 ms, with some under way.
-/// Nothing is known of it; it is empty, so it gets the next calls and tells its own time.
+/// A backend server joins a service whose others run calls in 22 ms and have some in progress.
+/// Its run time is unknown and taken to be that of the others. As it is idle, it gets the next
+/// calls, and then reports its own run time; if it were taken to be slower, it would never get
+/// any.
 #[test]
 fn a_backend_server_that_has_joined_is_called_at_once() {
     let (mut table, mut random) = table();
@@ -207,10 +214,11 @@
     assert!(calls_count >= 10, "{calls_count} of 30");
 }
 
-/// The link to a host goes silent. It gets no calls until it has answered, however long
-/// that takes, and then at once; a host that isn't known is not waited for.
+/// A host stops answering. It gets no calls until it has answered again, however long that
+/// takes, and then gets them at once. For an unknown host, the table reports that there is no
+/// such target.
 #[test]
-fn a_host_that_cannot_be_reached_gets_no_calls_until_it_answers() {
+fn an_unreachable_host_gets_no_calls_until_it_answers() {
     let (mut table, mut random) = table();
     assert!(table.lost(address(1)));
     assert!(!table.lost(address(99)));
@@ -224,11 +232,11 @@
     assert_eq!(choice.unwrap().control, address(1));
 }
 
-/// The only backend server of the own data centre turns twelve times slower, and has room.
-/// Each call to it would run into its timeout: calls go to the other data centre, and come
-/// back when it is well again.
+/// The only backend server of the own data centre becomes twelve times slower while it has idle
+/// slots. Each call to it would time out, so calls go to the other data centre until it has
+/// recovered.
 #[test]
-fn a_near_backend_server_that_turned_slow_is_passed_by() {
+fn a_slow_backend_server_in_the_own_data_centre_is_avoided() {
     let (mut table, mut random) = table();
     let members = [
         member(1, "near", MemberState::Serving),
@@ -259,7 +267,7 @@
     assert_eq!(choose_with(100), address(1));
 }
 
-/// Eight hosts, none near.
+/// A table with eight hosts, all in another data centre.
 fn eight() -> (TargetTable, StdRng) {
     let members = (1..=8).map(|host| member(host, "far", MemberState::Serving));
     let members: Vec<MemberRecord> = members.collect();
@@ -268,26 +276,27 @@
     (table, StdRng::seed_from_u64(7))
 }
 
-/// The gate of a host tells its work and the share of runs that fail there.
-fn tell_failures(table: &mut TargetTable, host: u8, work_ms: u32, failed_ratio: f64) {
+/// The gate of a host reports its run time and the share of runs that fail there.
+fn report_failures(table: &mut TargetTable, host: u8, work_ms: u32, failed_ratio: f64) {
     let failed_permille = (failed_ratio * 1_000.0) as u16;
     let report = GateReport {
         failed_permille,
         ..report(2, work_ms)
     };
-    tell(table, host, TargetEnded::Answered, report);
+    end_call(table, host, TargetEnded::Answered, report);
 }
 
-/// One backend server of eight fails each run, and says that it is well. It looks idle, and
-/// a run of eight calls needs all of them: with an eighth of the calls going there, a third of
-/// the requests is left. It gets one call in some hundreds, which shows when it is well.
+/// One backend server of eight fails each run while it reports that it is healthy, and looks
+/// idle. A request of eight calls needs all of them: with an eighth of the calls going to that
+/// server, only a third of the requests succeed. It gets one call in some hundreds as a probe,
+/// which shows when it has recovered.
 #[test]
-fn a_server_that_fails_out_of_line_is_left_nearly_alone() {
+fn a_server_that_fails_more_than_its_peers_gets_only_probes() {
     let (mut table, mut random) = eight();
     for host in 2..=8 {
-        tell_failures(&mut table, host, 44, 0.02);
+        report_failures(&mut table, host, 44, 0.02);
     }
-    tell_failures(&mut table, 1, 44, 0.9);
+    report_failures(&mut table, 1, 44, 0.9);
     assert!(table.is_out_of_line("archive", address(1)));
     let mut calls_count = 0;
     for _ in 0..20_000 {
@@ -297,15 +306,15 @@
         table.ended(at_ms(0), control, TargetEnded::GivenUp, None);
     }
     assert!((10..=100).contains(&calls_count), "{calls_count} of 20000");
-    tell_failures(&mut table, 1, 44, 0.05);
+    report_failures(&mut table, 1, 44, 0.05);
     assert!(!table.is_out_of_line("archive", address(1)));
 }
 
-/// What may run once at most is never a trial.
+/// A call that must not run twice is never used as a probe.
 #[test]
-fn no_call_that_may_run_once_tries_a_failing_server() {
+fn a_call_that_must_not_be_repeated_is_no_probe() {
     let (mut table, mut random) = eight();
-    tell_failures(&mut table, 1, 44, 0.9);
+    report_failures(&mut table, 1, 44, 0.9);
     for _ in 0..5_000 {
         let choice = table.choose(at_ms(0), "archive", &[], false, &mut random);
         let control = choice.unwrap().control;
@@ -314,39 +323,39 @@
     }
 }
 
-/// Most of a service fails: the cause isn't theirs. Left out, their load would press on the
-/// others.
+/// Most backend servers of a service fail, so the cause isn't any one of them. If they were
+/// ejected, the others would get their load.
 #[test]
-fn a_service_that_fails_everywhere_is_not_left_alone() {
+fn no_server_is_ejected_when_most_of_the_service_fails() {
     let (mut table, _) = eight();
     for host in 1..=6 {
-        tell_failures(&mut table, host, 44, 0.8);
+        report_failures(&mut table, host, 44, 0.8);
     }
     assert!((1..=8).all(|host| !table.is_out_of_line("archive", address(host))));
 }
 
-/// Three of eight fail: a third of the service is two.
+/// Three of eight fail, and a third of eight, rounded down, is two.
 #[test]
-fn a_third_of_a_service_is_left_alone_at_the_most() {
+fn at_most_a_third_of_a_service_is_ejected() {
     let (mut table, _) = eight();
     for host in 1..=3 {
-        tell_failures(&mut table, host, 44, 0.8);
+        report_failures(&mut table, host, 44, 0.8);
     }
     let out = (1..=8).filter(|host| table.is_out_of_line("archive", address(*host)));
     assert_eq!(out.count(), 2);
 }
 
-/// Only the failing one is left to ask.
+/// Only the failing server is left to try.
 #[test]
-fn a_failing_server_is_asked_where_there_is_no_other() {
+fn a_failing_server_is_chosen_if_there_is_no_other() {
     let (mut table, mut random) = eight();
-    tell_failures(&mut table, 1, 44, 0.9);
+    report_failures(&mut table, 1, 44, 0.9);
     let excluded: Vec<SocketAddr> = (2..=8).map(address).collect();
     let choice = table.choose(at_ms(0), "archive", &excluded, false, &mut random);
     assert_eq!(choice.unwrap().control, address(1));
 }
 
-/// A report of a backend server that takes so many calls a second, and the next in so long.
+/// A report of a backend server that takes `per_s` calls a second, and the next in `wait_ms`.
 fn limited_report(per_s: f64, wait_ms: u32) -> GateReport {
     GateReport {
         rate: Some(RateReport {
@@ -357,28 +366,29 @@
     }
 }
 
-/// The nearest backend server takes two calls a second and looks empty. Judged by its slots it would
-/// be asked for each call; judged by its limit it gets one, and the others go past it.
+/// A backend server in the own data centre takes two calls a second and looks idle. Judged by its
+/// slots, it would be tried for each call. Judged by its rate limit, it gets a few and the other
+/// servers get the rest.
 #[test]
-fn calls_go_past_a_server_that_takes_few_a_second() {
+fn a_server_with_a_low_rate_limit_gets_few_calls() {
     let (mut table, mut random) = table();
     for host in [1, 2, 3] {
-        tell(&mut table, host, TargetEnded::Answered, report(2, 100));
+        end_call(&mut table, host, TargetEnded::Answered, report(2, 100));
     }
-    let told = limited_report(2.0, 400);
-    tell(&mut table, 1, TargetEnded::Answered, told);
-    let counts = spread(&mut table, &mut random, 100);
+    let report = limited_report(2.0, 400);
+    end_call(&mut table, 1, TargetEnded::Answered, report);
+    let counts = calls_by_host(&mut table, &mut random, 100);
     assert!(counts.get(&1).is_none_or(|count| *count <= 5), "{counts:?}");
 }
 
-/// A server that has refused a call for its limit isn't asked again before it takes the next one, and
-/// while all have refused, callers learn why at once.
+/// A server that has refused a call for its rate limit isn't tried again before it takes the next
+/// one. While all have refused, callers are told the reason at once.
 #[test]
-fn a_server_that_takes_no_more_is_left_out_until_it_does() {
+fn a_server_at_its_rate_limit_is_not_chosen_until_it_takes_the_next_call() {
     let (mut table, mut random) = table();
     for host in [1, 2, 3] {
-        let told = limited_report(2.0, 400);
-        tell(&mut table, host, TargetEnded::Limited, told);
+        let report = limited_report(2.0, 400);
+        end_call(&mut table, host, TargetEnded::Limited, report);
     }
     let mut choose = |ms| table.choose(at_ms(ms), "archive", &[], false, &mut random);
     assert_eq!(choose(399), None);
@@ -387,42 +397,50 @@
     assert!(!table.is_limited(at_ms(400), "archive"));
 }
 
-/// The node beside a limited backend server is gone for a while and starts anew. It knows of no
-/// limit, and a refusal of its own tells none; the caller's word goes with the next call.
+/// The node beside a rate limited backend server is down for a while and restarts. It doesn't know
+/// the limit then, and its refusals report none. The caller, which does, sends it with the next
+/// call.
 #[test]
-fn a_limit_goes_with_calls_to_a_node_that_starts_anew() {
+fn calls_to_a_restarted_node_carry_the_known_rate_limit() {
     let (mut table, mut random) = table();
-    let of_host = |table: &mut TargetTable, random: &mut StdRng, ms| {
+    let choose_first_host = |table: &mut TargetTable, random: &mut StdRng, ms| {
         let excluded = [address(2), address(3)];
         table.choose(at_ms(ms), "archive", &excluded, false, random)
     };
     assert_eq!(
-        of_host(&mut table, &mut random, 0).unwrap().known_limit,
+        choose_first_host(&mut table, &mut random, 0)
+            .unwrap()
+            .known_limit,
         None
     );
     let life = BackendLife::untold("life-1");
-    // The answer comes when the host is no target any more.
+    // The answer arrives while the host is not a target.
     let others = [2, 3].map(|host| member(host, "near", MemberState::Serving));
     table.rebuild("near", others.iter());
     table.on_limit(at_ms(0), &life, limited_report(1.6, 0).rate);
     let all = [1, 2, 3].map(|host| member(host, "near", MemberState::Serving));
     table.rebuild("near", all.iter());
-    tell(&mut table, 1, TargetEnded::Full, report(0, 100));
-    let known = of_host(&mut table, &mut random, 2_500).unwrap().known_limit;
+    end_call(&mut table, 1, TargetEnded::Full, report(0, 100));
+    let known = choose_first_host(&mut table, &mut random, 2_500)
+        .unwrap()
+        .known_limit;
     let known = known.unwrap();
     assert_eq!((known.limit_milli_per_s, known.age_ms), (1_600, 2_500));
-    // The backend server answers without one.
+    // The backend server answers without a limit.
     table.on_limit(at_ms(0), &life, None);
     assert_eq!(
-        of_host(&mut table, &mut random, 0).unwrap().known_limit,
+        choose_first_host(&mut table, &mut random, 0)
+            .unwrap()
+            .known_limit,
         None
     );
 }
 
-/// A backend server has told this host that it leaves, and the node beside it, which starts anew, has
-/// a late report and tells that it serves. Nothing goes there from here, until its next life.
+/// A backend server has told this host that it is leaving. The node beside it restarts, has only
+/// an outdated report, and announces it as serving. This host sends it no calls until its next
+/// life.
 #[test]
-fn a_server_that_told_its_leaving_is_called_no_more() {
+fn a_server_that_announced_its_leaving_gets_no_calls() {
     let (mut table, mut random) = table();
     let members = |born_unix_ms: Option<u64>| {
         let mut members = [1, 2, 3].map(|host| member(host, "near", MemberState::Serving));
@@ -439,10 +457,10 @@
     for born in [Some(7), None] {
         table.rebuild("near", [].into_iter());
         table.rebuild("near", members(born).iter());
-        let counts = spread(&mut table, &mut random, 100);
+        let counts = calls_by_host(&mut table, &mut random, 100);
         assert_eq!(counts.get(&1), None, "{born:?}");
     }
     table.rebuild("near", members(Some(8)).iter());
-    let counts = spread(&mut table, &mut random, 100);
+    let counts = calls_by_host(&mut table, &mut random, 100);
     assert!(counts.contains_key(&1));
 }
