--- a/crates/kumquatquay-core/src/routed/backend_pulse.rs
+++ b/crates/kumquatquay-core/src/routed/backend_liveness.rs
@@ -20,13 +20,13 @@
 /// power, or whose network part failed, answers nothing: calls to it hang until
 /// their deadlines, hold all slots of the gate and look like pressure to everybody.
 #[derive(Debug, Default)]
-pub struct BackendPulse {
+pub struct BackendLiveness {
     under_way_count: usize,
     /// When it last answered, or began to have calls.
     last_sign: Duration,
 }
 
-impl BackendPulse {
+impl BackendLiveness {
     /// A call was handed over.
     pub fn began(&mut self, now: Duration) {
         if self.under_way_count == 0 {
--- a/crates/kumquatquay-core/src/routed/entry_levels.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -38,7 +38,7 @@
 /// short of room is felt by the last in that order first, wherever they come in,
 /// and those that are let in find room at each service on their way.
 #[derive(Debug, Default)]
-pub struct EntryLevels {
+pub struct EntryAdmission {
     services: HashMap<ServiceName, ServiceLevels>,
     /// By route, and by the service that told it: a route may be split.
     routes: HashMap<String, RouteLevels>,
@@ -98,7 +98,7 @@
     beside: f64,
 }
 
-impl EntryLevels {
+impl EntryAdmission {
     // Learning
 
     /// Takes in what a gate of a service tells.
--- a/crates/kumquatquay-core/src/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/src/routed/entry_queue.rs
@@ -8,7 +8,7 @@
 use kumquatquay_wire::{ServiceName, routed::Priority};
 use rand::Rng;
 
-use super::time_needed::TimeNeeded;
+use super::latency_estimate::LatencyEstimate;
 
 /// A request is held only if its expected wait is at most this part of the time that it can wait.
 const EXPECTED_RATIO: f64 = 0.7;
@@ -44,7 +44,7 @@
 
 /// Requests that are refused and held alike: those of one rank and claimant on one route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct EntryLine {
+pub struct FlowKey {
     /// Their route.
     pub route: String,
     /// Service that the route sends them to.
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HoldRequest<'a> {
     /// Where it would wait.
-    pub line: &'a EntryLine,
+    pub line: &'a FlowKey,
     /// Share of the requests of its line for which there is room now.
     pub chance: f64,
     /// Moment until which its answer is worth most.
@@ -70,7 +70,7 @@
 
 /// What becomes of a request that was offered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HoldOffer {
+pub enum HoldDecision {
     /// It is let in.
     Admitted,
     /// It is held until [`EntryQueue::release`] says otherwise.
@@ -85,7 +85,7 @@
 /// The place of a request that is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldKey {
-    line: EntryLine,
+    line: FlowKey,
     place: HeldPlace,
 }
 
@@ -99,20 +99,20 @@
 
 /// A request that is held no longer.
 #[derive(Debug, PartialEq)]
-pub struct Released<T> {
+pub struct ReleasedRequest<T> {
     /// What was handed in with it.
     pub ticket: T,
     /// Why it is held no longer.
-    pub outcome: HoldOutcome,
+    pub outcome: ReleaseReason,
 }
 
 /// Why a request is held no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldOutcome {
+pub enum ReleaseReason {
     /// There is room for it.
-    Room,
+    RoomAvailable,
     /// It can wait no longer. Later ones of its line are let in the fewer.
-    Due,
+    WaitExhausted,
     /// The room that was expected doesn't come.
     NoRoom {
         /// Time after which there should be room to hold it, if that is known.
@@ -133,8 +133,8 @@
 /// over, they are let in over that time and not all at once, on all entries together.
 #[derive(Debug)]
 pub struct EntryQueue<T> {
-    lines: HashMap<EntryLine, Line<T>>,
-    needed: HashMap<String, TimeNeeded>,
+    lines: HashMap<FlowKey, Line<T>>,
+    needed: HashMap<String, LatencyEstimate>,
     held_count: usize,
     held_bytes: usize,
     last_number: u64,
@@ -184,7 +184,7 @@
         if let Some(needed) = self.needed.get_mut(route) {
             needed.add(took);
         } else if self.needed.len() < LINES_LIMIT_COUNT {
-            let needed = TimeNeeded::first(took);
+            let needed = LatencyEstimate::first(took);
             self.needed.insert(String::from(route), needed);
         }
     }
@@ -213,14 +213,14 @@
         request: &HoldRequest<'_>,
         ticket: T,
         random: &mut impl Rng,
-    ) -> HoldOffer {
+    ) -> HoldDecision {
         if !self.make_line(now, request, random) {
             return by_chance(request.chance, random);
         }
         let latest = self.latest_start(request);
         let has_memory = self.has_memory(request.held_bytes);
         let Some(line) = self.lines.get_mut(request.line) else {
-            return HoldOffer::Refused { room_in: None };
+            return HoldDecision::Refused { room_in: None };
         };
         line.arrive(now);
         line.earn(now, request.chance);
@@ -228,7 +228,7 @@
         let is_holdable = has_memory && can_wait >= LEAST_WAIT;
         let goes_first = line.held.is_empty() || !is_holdable;
         if goes_first && line.spend() {
-            return HoldOffer::Admitted;
+            return HoldDecision::Admitted;
         }
         let spread = can_wait.mul_f64(SPREAD_RATIO);
         let expected = line.expected_wait(now, line.held.len() + 1, spread);
@@ -236,7 +236,7 @@
         let fits = is_holdable && expected.is_some_and(|expected| expected <= longest);
         let Some(latest) = latest.filter(|_| fits) else {
             let room_in = expected.map(|expected| expected.saturating_sub(longest));
-            return HoldOffer::Refused { room_in };
+            return HoldDecision::Refused { room_in };
         };
         self.last_number += 1;
         let place = HeldPlace {
@@ -248,7 +248,7 @@
         self.held_count += 1;
         self.held_bytes += held_bytes;
         let line = request.line.clone();
-        HoldOffer::Held(HoldKey { line, place })
+        HoldDecision::Held(HoldKey { line, place })
     }
 
     /// Takes out a request whose caller has left, or that was released already.
@@ -276,8 +276,8 @@
     pub fn release(
         &mut self,
         now: Duration,
-        mut chance: impl FnMut(&EntryLine) -> f64,
-    ) -> Vec<Released<T>> {
+        mut chance: impl FnMut(&FlowKey) -> f64,
+    ) -> Vec<ReleasedRequest<T>> {
         let mut released = Vec::new();
         // Lines in their order: the important are offered first.
         let mut lines: Vec<_> = self.lines.iter_mut().collect();
@@ -291,7 +291,7 @@
             self.held_count -= 1;
             self.held_bytes -= held.held_bytes;
         }
-        let released = released.into_iter().map(|(held, outcome)| Released {
+        let released = released.into_iter().map(|(held, outcome)| ReleasedRequest {
             ticket: held.ticket,
             outcome,
         });
@@ -335,11 +335,11 @@
 }
 
 /// Decides on a request whose line isn't remembered.
-fn by_chance(chance: f64, random: &mut impl Rng) -> HoldOffer {
+fn by_chance(chance: f64, random: &mut impl Rng) -> HoldDecision {
     if random.random::<f64>() < chance {
-        HoldOffer::Admitted
+        HoldDecision::Admitted
     } else {
-        HoldOffer::Refused { room_in: None }
+        HoldDecision::Refused { room_in: None }
     }
 }
 
@@ -422,12 +422,12 @@
         }
     }
 
-    fn release(&mut self, now: Duration, released: &mut Vec<(HeldRequest<T>, HoldOutcome)>) {
+    fn release(&mut self, now: Duration, released: &mut Vec<(HeldRequest<T>, ReleaseReason)>) {
         while self.credit >= 1.0
             && let Some((_, held)) = self.held.pop_first()
         {
             self.credit -= 1.0;
-            released.push((held, HoldOutcome::Room));
+            released.push((held, ReleaseReason::RoomAvailable));
         }
         if self.held.is_empty() {
             // What nobody could use is no room for those who come later.
@@ -437,12 +437,12 @@
             && first.key().latest <= now
         {
             self.credit -= 1.0;
-            released.push((first.remove(), HoldOutcome::Due));
+            released.push((first.remove(), ReleaseReason::WaitExhausted));
         }
         while let Some(room_in) = self.is_hopeless(now)
             && let Some((_, held)) = self.held.pop_last()
         {
-            released.push((held, HoldOutcome::NoRoom { room_in }));
+            released.push((held, ReleaseReason::NoRoom { room_in }));
         }
     }
 
--- a/crates/kumquatquay-core/src/routed/gate_repeats.rs
+++ b/crates/kumquatquay-core/src/routed/gate_retries.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::RetryWindow;
+use super::RetryBudget;
 
 /// Hand-overs of one call at one gate, at most. With 55 of 100 turned away, 98 calls
 /// of 100 are served by the seventh; each one costs 1 ms.
@@ -27,23 +27,23 @@
 /// to no budget for repeats, while the gates see all calls of their service and can
 /// spend the budget where one repeat saves a whole request.
 #[derive(Debug)]
-pub struct GateRepeats {
-    window: RetryWindow,
+pub struct GateRetries {
+    window: RetryBudget,
     turned_away_ratio: f64,
 }
 
 /// A call that was turned away.
 #[derive(Clone, Copy, Debug)]
-pub struct TurnedAwayCall {
+pub struct RejectedCall {
     /// Whether a person sent it; otherwise a run makes it, mostly one of several.
     pub is_from_outside: bool,
     /// How often it was handed over.
     pub hand_overs_count: u32,
 }
 
-impl GateRepeats {
+impl GateRetries {
     /// Repeats within this gate's part of the retry budget.
-    pub fn new(window: RetryWindow) -> Self {
+    pub fn new(window: RetryBudget) -> Self {
         Self {
             window,
             turned_away_ratio: 0.0,
@@ -62,7 +62,7 @@
     }
 
     /// Whether a call is handed over again; it then counts as a repeat.
-    pub fn take(&mut self, now: Duration, call: TurnedAwayCall) -> bool {
+    pub fn take(&mut self, now: Duration, call: RejectedCall) -> bool {
         let is_worth_it = call.is_from_outside || self.turned_away_ratio < INNER_RATIO;
         let may = call.hand_overs_count < HAND_OVERS_LIMIT_COUNT && is_worth_it;
         if !may || !self.window.has_room(now, 1.0) {
--- a/crates/kumquatquay-core/src/routed/host_gate.rs
+++ b/crates/kumquatquay-core/src/routed/host_gate.rs
@@ -4,7 +4,7 @@
 
 use kumquatquay_wire::routed::{GateReport, NotRunReason, Priority};
 
-use super::{GateState, RouteRun, RouteWorks, ServerLimit};
+use super::{GateState, RouteRunTime, RouteRunTimes, ServerRateLimit};
 
 /// Waiting calls of the mean size for each running one, at most: the wait is twice the time of
 /// a call.
@@ -31,7 +31,7 @@
 /// Place of a waiting call: the most important first, then those that can still be in time, then
 /// the one whose answer is due first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WaitKey {
+pub struct GateQueueKey {
     priority: Priority,
     whole_priority: Priority,
     is_late: bool,
@@ -39,7 +39,7 @@
     sequence: u64,
 }
 
-impl WaitKey {
+impl GateQueueKey {
     /// Its place once its answer can't be in time any more.
     fn when_late(self) -> Self {
         Self {
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QueueOrder {
     /// The one whose answer is due first.
-    EarliestDue,
+    EarliestDeadline,
     /// The same, but those whose answer can't be in time any more come after all others of their
     /// rank. After a stall they are due first: run first, they would make each call after them late
     /// as well.
@@ -93,9 +93,9 @@
     /// It runs now.
     Run,
     /// It waits in the queue, under this key.
-    Wait(WaitKey),
+    Wait(GateQueueKey),
     /// It waits, and the least important ones that waited must go.
-    Evict(WaitKey, Vec<T>),
+    Evict(GateQueueKey, Vec<T>),
     /// There is no room, or none before its deadline.
     Refuse(T),
 }
@@ -116,12 +116,12 @@
     /// these are tens of milliseconds of calls.
     in_transit: f64,
     running_count: usize,
-    waiting: BTreeMap<WaitKey, Waiting<T>>,
+    waiting: BTreeMap<GateQueueKey, Waiting<T>>,
     /// Expected work of all that wait.
     waiting_work: Duration,
     last_sequence: u64,
-    works: RouteWorks,
-    server_limit: ServerLimit,
+    works: RouteRunTimes,
+    server_limit: ServerRateLimit,
 }
 
 #[derive(Debug)]
@@ -148,8 +148,8 @@
             waiting: BTreeMap::new(),
             waiting_work: Duration::ZERO,
             last_sequence: 0,
-            works: RouteWorks::default(),
-            server_limit: ServerLimit::default(),
+            works: RouteRunTimes::default(),
+            server_limit: ServerRateLimit::default(),
         }
     }
 }
@@ -201,7 +201,7 @@
             return Admission::Run;
         }
         self.last_sequence += 1;
-        let key = WaitKey {
+        let key = GateQueueKey {
             priority: call.priority,
             whole_priority: call.whole_priority,
             is_late: self.is_late(now, call.work, call.due),
@@ -333,7 +333,7 @@
     }
 
     /// A running call has ended; `run` if it tells how long calls of its route run.
-    pub fn ended(&mut self, run: Option<RouteRun<'_>>) {
+    pub fn ended(&mut self, run: Option<RouteRunTime<'_>>) {
         self.running_count = self.running_count.saturating_sub(1);
         if let Some(run) = run {
             self.works.ended(run);
@@ -341,7 +341,7 @@
     }
 
     /// Takes a waiting call out, if it still waits.
-    pub fn withdraw(&mut self, key: WaitKey) -> Option<T> {
+    pub fn withdraw(&mut self, key: GateQueueKey) -> Option<T> {
         let waiting = self.waiting.remove(&key);
         let waiting = waiting.or_else(|| self.waiting.remove(&key.when_late()))?;
         self.waiting_work = self.waiting_work.saturating_sub(waiting.work);
@@ -364,17 +364,17 @@
     }
 
     /// How long calls of each route run.
-    pub fn works(&self) -> &RouteWorks {
+    pub fn works(&self) -> &RouteRunTimes {
         &self.works
     }
 
     /// The rate limit that the backend server advertises.
-    pub fn server_limit(&self) -> &ServerLimit {
+    pub fn server_limit(&self) -> &ServerRateLimit {
         &self.server_limit
     }
 
     /// The same, to take in what it says.
-    pub fn server_limit_mut(&mut self) -> &mut ServerLimit {
+    pub fn server_limit_mut(&mut self) -> &mut ServerRateLimit {
         &mut self.server_limit
     }
 
@@ -414,7 +414,7 @@
         by_rate.map_or(slots, |per_s| slots.min(per_s * self.work().as_secs_f64()))
     }
 
-    fn ahead_of(&self, key: WaitKey) -> Ahead {
+    fn ahead_of(&self, key: GateQueueKey) -> Ahead {
         let ahead = self.waiting.range(..key);
         ahead.fold(Ahead::default(), |ahead, (_, waiting)| Ahead {
             calls_count: ahead.calls_count + 1,
--- a/crates/kumquatquay-core/src/routed/time_needed.rs
+++ b/crates/kumquatquay-core/src/routed/latency_estimate.rs
@@ -13,12 +13,12 @@
 
 /// A mean time and how far single ones lie from it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TimeNeeded {
+pub(super) struct LatencyEstimate {
     mean_s: f64,
     deviation_s: f64,
 }
 
-impl TimeNeeded {
+impl LatencyEstimate {
     /// What is known after the first request.
     pub(super) fn first(took: Duration) -> Self {
         let mean_s = took.as_secs_f64();
--- a/crates/kumquatquay-core/src/routed/level_setter.rs
+++ b/crates/kumquatquay-core/src/routed/level_controller.rs
@@ -62,7 +62,7 @@
 /// the deepest service, which is short of slots: turned away there one call at a
 /// time, nearly every request loses one of its eight, and all work is wasted.
 #[derive(Debug)]
-pub struct LevelSetter {
+pub struct LevelController {
     level: f64,
     load: f64,
     window_began: Duration,
@@ -75,7 +75,7 @@
     past: VecDeque<f64>,
 }
 
-impl Default for LevelSetter {
+impl Default for LevelController {
     fn default() -> Self {
         Self {
             level: 1.0,
@@ -99,7 +99,7 @@
     pub waiting_work: Duration,
 }
 
-impl LevelSetter {
+impl LevelController {
     /// A call arrived at the gate, whatever becomes of it; it is expected to run for `work`, and
     /// its sender knows the service's level as `heard`.
     ///
--- a/crates/kumquatquay-core/src/routed/target_table.rs
+++ b/crates/kumquatquay-core/src/routed/load_balancer.rs
@@ -13,7 +13,8 @@
 use rand::{Rng, seq::IndexedRandom};
 
 use super::{
-    LineChange, Mechanism, Mechanisms, out_of_line::OutOfLine, reported_lives::ReportedLives,
+    Mechanism, Mechanisms, OutlierChange, outlier_detector::OutlierDetector,
+    reported_lives::ReportedLives,
 };
 
 /// How long a gate's report counts; after that only this node's own calls do.
@@ -87,7 +88,7 @@
 
 /// A backend server and the node beside it, as this node's own calls see them.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct Endpoint {
     /// Where the node takes calls from other nodes.
     pub peer: SocketAddr,
     /// The backend server's life.
@@ -112,7 +113,7 @@
 
 /// The host that a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct PickedEndpoint {
     /// Control address of the node; names the target.
     pub control: SocketAddr,
     /// Where the node takes calls from other nodes.
@@ -127,36 +128,36 @@
 
 /// How a call to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetEnded {
+pub enum EndpointResult {
     /// The backend server answered.
     Answered,
     /// The backend server failed it or turned it away.
     Failed,
     /// The gate had no room.
-    Full,
+    GateFull,
     /// The backend server takes no more calls a second.
-    Limited,
+    RateLimited,
     /// The host takes nothing for that backend server.
-    Closed,
+    Unavailable,
     /// The link to the host was lost or could not be made.
-    Lost,
+    Unreachable,
     /// This node gave the call up.
-    GivenUp,
+    Cancelled,
 }
 
 /// The backend servers of all services.
 #[derive(Debug, Default)]
-pub struct TargetTable {
+pub struct LoadBalancer {
     mechanisms: Mechanisms,
-    targets: HashMap<SocketAddr, Target>,
+    targets: HashMap<SocketAddr, Endpoint>,
     services: BTreeMap<ServiceName, Vec<SocketAddr>>,
     /// Backend servers that fail more than their peers, by service.
-    out_of_line: HashMap<ServiceName, OutOfLine>,
-    line_changes: Vec<LineChange>,
+    out_of_line: HashMap<ServiceName, OutlierDetector>,
+    line_changes: Vec<OutlierChange>,
     told_lives: ReportedLives,
 }
 
-impl TargetTable {
+impl LoadBalancer {
     /// A table that decides by these mechanisms.
     pub fn new(mechanisms: Mechanisms) -> Self {
         Self {
@@ -184,7 +185,9 @@
                 .filter(|target| target.life == record.life && target.peer == record.peer);
             let target = same_life
                 .filter(|target| target.service == *service)
-                .unwrap_or_else(|| Target::new(record, service, own_data_centre, &self.told_lives));
+                .unwrap_or_else(|| {
+                    Endpoint::new(record, service, own_data_centre, &self.told_lives)
+                });
             self.targets.insert(record.control, target);
             let controls = self.services.entry(service.clone()).or_default();
             controls.push(record.control);
@@ -210,7 +213,7 @@
 
     /// Those that fail more than their peers; there are none with the mechanism off.
     fn refresh_out_of_line(&mut self, service: &str) {
-        if !self.mechanisms.is_on(Mechanism::OutOfLine) {
+        if !self.mechanisms.is_on(Mechanism::OutlierEjection) {
             return;
         }
         let controls = self.services.get(service).into_iter().flatten();
@@ -223,7 +226,7 @@
     }
 
     /// Backend servers that were left nearly alone, or called again, since this was asked last.
-    pub fn take_line_changes(&mut self) -> Vec<LineChange> {
+    pub fn take_line_changes(&mut self) -> Vec<OutlierChange> {
         std::mem::take(&mut self.line_changes)
     }
 
@@ -237,7 +240,7 @@
         excluded: &[SocketAddr],
         may_repeat: bool,
         random: &mut impl Rng,
-    ) -> Option<Choice> {
+    ) -> Option<PickedEndpoint> {
         let controls = self.services.get(service)?;
         let open = controls
             .iter()
@@ -270,7 +273,7 @@
         target.sent_since_report_count += 1;
         let known_limit = target.life.as_ref();
         let known_limit = known_limit.and_then(|life| self.told_lives.limit(now, life));
-        Some(Choice {
+        Some(PickedEndpoint {
             control,
             peer: target.peer,
             life: target.life.clone(),
@@ -284,7 +287,7 @@
         &mut self,
         now: Duration,
         control: SocketAddr,
-        how: TargetEnded,
+        how: EndpointResult,
         report: Option<GateReport>,
     ) {
         let Some(target) = self.targets.get_mut(&control) else {
@@ -299,23 +302,25 @@
             target.sent_since_report_count = 0;
         }
         match how {
-            TargetEnded::Answered => {
+            EndpointResult::Answered => {
                 target.failed_ratio -= NEW_WEIGHT * target.failed_ratio;
                 target.lost_pause = LOST_PAUSE;
             }
-            TargetEnded::Failed => target.failed_ratio += NEW_WEIGHT * (1.0 - target.failed_ratio),
-            TargetEnded::Closed => target.closed_until = now + CLOSED_PAUSE,
-            TargetEnded::Lost => {
+            EndpointResult::Failed => {
+                target.failed_ratio += NEW_WEIGHT * (1.0 - target.failed_ratio)
+            }
+            EndpointResult::Unavailable => target.closed_until = now + CLOSED_PAUSE,
+            EndpointResult::Unreachable => {
                 target.closed_until = now + target.lost_pause;
                 target.lost_pause = (target.lost_pause * 2).min(LOST_PAUSE_LONGEST);
             }
-            TargetEnded::Limited => {
+            EndpointResult::RateLimited => {
                 let wait = target.report.rate.map(|rate| rate.wait());
                 let pause = wait.unwrap_or_default();
                 let pause = pause.clamp(LIMITED_PAUSE_LEAST, LIMITED_PAUSE_LONGEST);
                 target.limited_until = now + pause;
             }
-            TargetEnded::Full | TargetEnded::GivenUp => {}
+            EndpointResult::GateFull | EndpointResult::Cancelled => {}
         }
         if is_other_ratio {
             let service = target.service.clone();
@@ -389,7 +394,7 @@
         if self.targets[&control].fill_ratio(now) >= SPILL_FILL_RATIO {
             return false;
         }
-        let is_on = self.mechanisms.is_on(Mechanism::SlowNear);
+        let is_on = self.mechanisms.is_on(Mechanism::SlowLocalSpillover);
         !is_on || self.cost_s(now, control) < SLOW_RATIO * self.mean_cost_s(now, far)
     }
 
@@ -420,7 +425,7 @@
         if let Some(told_s) = target.told_work_s() {
             return told_s;
         }
-        if !self.mechanisms.is_on(Mechanism::PeerWork) {
+        if !self.mechanisms.is_on(Mechanism::PeerRunTime) {
             return FIRST_WORK_S;
         }
         let peers = self.services.get(&target.service);
@@ -434,7 +439,7 @@
     }
 }
 
-impl Target {
+impl Endpoint {
     fn new(
         record: &MemberRecord,
         service: &str,
--- a/crates/kumquatquay-core/src/routed/machine_pace.rs
+++ b/crates/kumquatquay-core/src/routed/machine_slowdown.rs
@@ -14,7 +14,7 @@
 
 /// What a backend server told last of its machine.
 #[derive(Debug, Default)]
-pub struct MachinePace {
+pub struct MachineSlowdown {
     told: Option<Told>,
 }
 
@@ -24,7 +24,7 @@
     ratio: f64,
 }
 
-impl MachinePace {
+impl MachineSlowdown {
     /// Takes in how long work takes over its usual time; a senseless figure is passed over.
     pub fn on_told(&mut self, now: Duration, ratio: f64) {
         if (LEAST_RATIO..=MOST_RATIO).contains(&ratio) {
--- a/crates/kumquatquay-core/src/routed/mechanisms.rs
+++ b/crates/kumquatquay-core/src/routed/mechanisms.rs
@@ -20,16 +20,16 @@
     TracedCalls,
     /// Calls wait at gates by the rank of the whole request that they belong to.
     #[display("whole-order")]
-    WholeOrder,
+    RequestPriority,
     /// A gate hands over more calls for those on their way.
     #[display("transit")]
-    Transit,
+    TransitAllowance,
     /// A call that was turned away is handed over again at its gate.
     #[display("gate-repeats")]
-    GateRepeats,
-    /// Beside an attempt that hangs another one is made.
+    GateRetries,
+    /// A second attempt is made beside one that hangs.
     #[display("beside")]
-    Beside,
+    HedgedAttempts,
     /// A backend server that gives no answers is taken to be dead.
     #[display("silent-backend")]
     SilentBackend,
@@ -44,31 +44,31 @@
     Crowding,
     /// A backend server that hasn't told its work is taken to be like its peers.
     #[display("peer-work")]
-    PeerWork,
+    PeerRunTime,
     /// A node that starts asks its backend server how it is, before that reports.
     #[display("first-look")]
-    FirstLook,
+    InitialHealthCheck,
     /// A backend server of the own data centre that is far slower than others is passed by.
     #[display("slow-near")]
-    SlowNear,
+    SlowLocalSpillover,
     /// A node that stops goes on taking calls for its backend server at first.
     #[display("late-leaving")]
-    LateLeaving,
+    DelayedShutdown,
     /// A backend server that fails more than its peers is left nearly alone.
     #[display("out-of-line")]
-    OutOfLine,
+    OutlierEjection,
     /// What nodes own of the quotas of workspaces is lent to keepers.
     #[display("quota-loans")]
     QuotaLoans,
     /// Refused callers are asked back the later, the longer a shortage has lasted.
     #[display("late-return")]
-    LateReturn,
+    GrowingRetryAfter,
     /// Requests that a caller sends before the first is answered run beside it.
     #[display("pipelining")]
     Pipelining,
     /// Load is counted as the slot time that calls of each route take.
     #[display("work-load")]
-    WorkLoad,
+    WorkBasedLoad,
     /// At a gate, calls that can't be in time any more come after those of their rank that can.
     #[display("late-last")]
     LateLast,
@@ -86,23 +86,23 @@
         Self::EntryLevels,
         Self::KeptGraph,
         Self::TracedCalls,
-        Self::WholeOrder,
-        Self::Transit,
-        Self::GateRepeats,
-        Self::Beside,
+        Self::RequestPriority,
+        Self::TransitAllowance,
+        Self::GateRetries,
+        Self::HedgedAttempts,
         Self::SilentBackend,
         Self::SilentLinks,
         Self::Commit,
         Self::Crowding,
-        Self::PeerWork,
-        Self::FirstLook,
-        Self::SlowNear,
-        Self::LateLeaving,
-        Self::OutOfLine,
+        Self::PeerRunTime,
+        Self::InitialHealthCheck,
+        Self::SlowLocalSpillover,
+        Self::DelayedShutdown,
+        Self::OutlierEjection,
         Self::QuotaLoans,
-        Self::LateReturn,
+        Self::GrowingRetryAfter,
         Self::Pipelining,
-        Self::WorkLoad,
+        Self::WorkBasedLoad,
         Self::LateLast,
         Self::EntryHold,
         Self::FairShares,
--- a/crates/kumquatquay-core/src/routed/mod.rs
+++ b/crates/kumquatquay-core/src/routed/mod.rs
@@ -6,79 +6,79 @@
 //! is sent once more. It needs no network: the daemon carries the bytes and tells the
 //! time.
 
+mod backend_liveness;
 mod backend_lives;
-mod backend_pulse;
 mod call_graph;
 mod call_tracer;
-mod entry_levels;
+mod entry_admission;
 mod entry_queue;
 mod era_tracker;
 mod fair_shares;
 mod freshness_proof;
-mod gate_repeats;
+mod gate_retries;
 mod held_answers;
 mod host_gate;
-mod level_setter;
+mod latency_estimate;
+mod level_controller;
 mod link_health;
+mod load_balancer;
 mod log_read;
-mod machine_pace;
+mod machine_slowdown;
 mod mechanisms;
 mod offered_load;
-mod out_of_line;
+mod outlier_detector;
 mod pooled_news;
 mod register_bootstrap;
 mod reported_lives;
 mod request_pipeline;
 mod retry_after;
-mod retry_window;
+mod retry_budget;
 mod route_callers;
+mod route_run_times;
 mod route_table;
-mod route_works;
 mod run_failures;
-mod server_limit;
+mod server_rate_limit;
 mod service_levels;
-mod split;
 mod store_poller;
 mod store_readers;
-mod target_table;
-mod time_needed;
 mod unknown_keys;
+mod weighted_split;
 mod workspaces;
 
+pub use backend_liveness::BackendLiveness;
 pub use backend_lives::{BackendLives, LifeReport, LifeState, ReportError};
-pub use backend_pulse::BackendPulse;
 pub use call_graph::{CallEdge, CallGraph};
 pub use call_tracer::{CallTracer, RunId};
-pub use entry_levels::{EntryLevels, EntryRequest, ServiceWork, Shortage};
+pub use entry_admission::{EntryAdmission, EntryRequest, ServiceWork, Shortage};
 pub use entry_queue::{
-    EntryLine, EntryQueue, HoldKey, HoldOffer, HoldOutcome, HoldRequest, Released,
+    EntryQueue, FlowKey, HoldDecision, HoldKey, HoldRequest, ReleaseReason, ReleasedRequest,
 };
 pub use era_tracker::{EraChange, EraTracker};
 pub use fair_shares::{FairShares, ShareGroup};
 pub use freshness_proof::{FreshnessProof, PeerProof};
-pub use gate_repeats::{GateRepeats, TurnedAwayCall};
+pub use gate_retries::{GateRetries, RejectedCall};
 pub use held_answers::HeldAnswers;
-pub use host_gate::{Admission, BackendLoad, GateCall, HostGate, QueueOrder, WaitKey};
-pub use level_setter::{GateState, LevelSetter};
+pub use host_gate::{Admission, BackendLoad, GateCall, GateQueueKey, HostGate, QueueOrder};
+pub use level_controller::{GateState, LevelController};
 pub use link_health::{LinkAction, LinkHealth};
+pub use load_balancer::{Endpoint, EndpointResult, LoadBalancer, PickedEndpoint};
 pub use log_read::{LogAnswer, LogPage, LogPosition, LogRead, LogStep};
-pub use machine_pace::MachinePace;
+pub use machine_slowdown::MachineSlowdown;
 pub use mechanisms::{Mechanism, Mechanisms, UnknownMechanism};
-pub use out_of_line::LineChange;
+pub use outlier_detector::OutlierChange;
 pub use register_bootstrap::{
     RegisterBootstrap, RegisterPageSummary, RegisterPosition, RegisterStep, register_position,
 };
 pub use request_pipeline::{PipelineLimits, PipelinedRequest, RequestPipeline};
 pub use retry_after::RetryAfter;
-pub use retry_window::RetryWindow;
+pub use retry_budget::RetryBudget;
 pub use route_callers::RouteCallers;
+pub use route_run_times::{RouteRunTime, RouteRunTimes};
 pub use route_table::{RouteEntry, RouteTable};
-pub use route_works::{RouteRun, RouteWorks};
 pub use run_failures::RunFailures;
-pub use server_limit::{AdvertisedLimit, LimitChange, ServerLimit};
-pub use split::Split;
+pub use server_rate_limit::{AdvertisedRateLimit, RateLimitChange, ServerRateLimit};
 pub use store_poller::{PollStep, PollerFleet, StorePoller};
 pub use store_readers::StoreReaders;
-pub use target_table::{Choice, Target, TargetEnded, TargetTable};
 pub use unknown_keys::UnknownKeys;
-pub use workspaces::{KeyClaim, KeyVerdict, Workspaces, whole_rank};
+pub use weighted_split::WeightedSplit;
+pub use workspaces::{CallerIdentity, PresentedKey, Workspaces, whole_rank};
--- a/crates/kumquatquay-core/src/routed/out_of_line.rs
+++ b/crates/kumquatquay-core/src/routed/outlier_detector.rs
@@ -14,7 +14,7 @@
 
 /// A backend server is left nearly alone from now on, or called again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LineChange {
+pub struct OutlierChange {
     /// Its service.
     pub service: ServiceName,
     /// Control address of the node beside it.
@@ -34,17 +34,21 @@
 /// couldn't carry their load: so one of three at the most is left out, and only for what it
 /// fails beyond the middle one.
 #[derive(Debug, Default)]
-pub(super) struct OutOfLine {
+pub(super) struct OutlierDetector {
     controls: HashSet<SocketAddr>,
 }
 
-impl OutOfLine {
+impl OutlierDetector {
     pub(super) fn contains(&self, control: SocketAddr) -> bool {
         self.controls.contains(&control)
     }
 
     /// Takes in the share of failed runs of each backend server of the service; what changes.
-    pub(super) fn refresh(&mut self, service: &str, told: &[(SocketAddr, f64)]) -> Vec<LineChange> {
+    pub(super) fn refresh(
+        &mut self,
+        service: &str,
+        told: &[(SocketAddr, f64)],
+    ) -> Vec<OutlierChange> {
         let mut worst_first = told.to_vec();
         worst_first.sort_by(|a, b| b.1.total_cmp(&a.1));
         let Some((_, middle_ratio)) = worst_first.get(told.len() / 2).copied() else {
@@ -63,7 +67,7 @@
         let changed = told
             .iter()
             .filter(|(control, _)| out.contains(control) != self.contains(*control));
-        let changes = changed.map(|(control, failed_ratio)| LineChange {
+        let changes = changed.map(|(control, failed_ratio)| OutlierChange {
             service: ServiceName::from(service),
             control: *control,
             is_out: out.contains(control),
--- a/crates/kumquatquay-core/src/routed/retry_window.rs
+++ b/crates/kumquatquay-core/src/routed/retry_budget.rs
@@ -13,7 +13,7 @@
 /// part longer than the shared one, which keeps any placement of that one within
 /// the budget.
 #[derive(Debug)]
-pub struct RetryWindow {
+pub struct RetryBudget {
     ratio: f64,
     extra_count: f64,
     part: Duration,
@@ -27,7 +27,7 @@
     repeats_count: f64,
 }
 
-impl RetryWindow {
+impl RetryBudget {
     /// A window in which `ratio` of the requests and `extra_count` may be repeated.
     pub fn new(window: Duration, ratio: f64, extra_count: f64) -> Self {
         Self {
--- a/crates/kumquatquay-core/src/routed/route_works.rs
+++ b/crates/kumquatquay-core/src/routed/route_run_times.rs
@@ -20,7 +20,7 @@
 
 /// How long a call on a route has run, or calls on it run on the mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RouteRun<'a> {
+pub struct RouteRunTime<'a> {
     /// The route.
     pub route: &'a str,
     /// How long.
@@ -32,8 +32,8 @@
 /// Routes of one service may differ much in the time of a call, so a count of calls doesn't tell
 /// the load.
 #[derive(Debug, Default)]
-pub struct RouteWorks {
-    routes: HashMap<String, RouteWork>,
+pub struct RouteRunTimes {
+    routes: HashMap<String, RouteStats>,
     /// That of all routes.
     all: Mean,
     /// Calls on routes that aren't told apart, in the mix.
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Default)]
-struct RouteWork {
+struct RouteStats {
     mean: Mean,
     /// Its calls among the last ones; not scaled.
     share: f64,
@@ -56,7 +56,7 @@
     timed_count: u32,
 }
 
-impl RouteWorks {
+impl RouteRunTimes {
     /// Takes calls of all routes to be alike.
     #[must_use]
     pub fn without_routes(self) -> Self {
@@ -67,8 +67,8 @@
     }
 
     /// A call has run to its end.
-    pub fn ended(&mut self, run: RouteRun<'_>) {
-        let RouteRun { route, work } = run;
+    pub fn ended(&mut self, run: RouteRunTime<'_>) {
+        let RouteRunTime { route, work } = run;
         let work_s = work.as_secs_f64();
         self.all.add(work_s);
         for known in self.routes.values_mut() {
@@ -127,8 +127,8 @@
     }
 
     /// The routes that are told apart, by name.
-    pub fn routes(&self) -> Vec<RouteRun<'_>> {
-        let known = self.routes.iter().map(|(route, work)| RouteRun {
+    pub fn routes(&self) -> Vec<RouteRunTime<'_>> {
+        let known = self.routes.iter().map(|(route, work)| RouteRunTime {
             route,
             work: Duration::from_secs_f64(work.mean.work_s),
         });
@@ -138,7 +138,7 @@
     }
 }
 
-impl RouteWork {
+impl RouteStats {
     fn add(&mut self, work_s: f64) {
         self.mean.add(work_s);
         self.share += MIX_WEIGHT;
--- a/crates/kumquatquay-core/src/routed/route_table.rs
+++ b/crates/kumquatquay-core/src/routed/route_table.rs
@@ -10,7 +10,7 @@
     routed::{CallerLimits, Priority, RouteConfiguration, RouteSettings, RouteVersion},
 };
 
-use super::{Split, Workspaces, whole_rank};
+use super::{WeightedSplit, Workspaces, whole_rank};
 
 /// A configuration, laid out for finding routes.
 ///
@@ -33,7 +33,7 @@
     /// What operators set.
     pub settings: RouteSettings,
     /// Shares of its destinations.
-    pub split: Split,
+    pub split: WeightedSplit,
 }
 
 impl RouteTable {
@@ -57,7 +57,7 @@
         let services = named.chain(called).cloned().collect();
         let hosts = configuration.hosts.into_iter().map(|host| {
             let routes = host.routes.into_iter().map(|settings| {
-                let split = Split::new(&settings.destinations, phase);
+                let split = WeightedSplit::new(&settings.destinations, phase);
                 let prefix = settings.path_prefix.clone();
                 (prefix, Arc::new(RouteEntry { settings, split }))
             });
--- a/crates/kumquatquay-core/src/routed/server_limit.rs
+++ b/crates/kumquatquay-core/src/routed/server_rate_limit.rs
@@ -21,7 +21,7 @@
 
 /// What an answer says of the calls a second that its backend server takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum AdvertisedLimit {
+pub enum AdvertisedRateLimit {
     /// Nothing: it takes what its slots allow.
     #[default]
     None,
@@ -33,7 +33,7 @@
 
 /// How a limit came, changed or ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitChange {
+pub struct RateLimitChange {
     /// Calls a second until now; `None` without a limit.
     pub from_per_s: Option<f64>,
     /// Calls a second from now on; `None` without a limit.
@@ -45,7 +45,7 @@
 /// A token bucket beside the backend server. All calls of all hosts pass here, so one count is
 /// enough and none is shared. While no limit is advertised it counts nothing.
 #[derive(Debug, Default)]
-pub struct ServerLimit {
+pub struct ServerRateLimit {
     /// Life that advertises it.
     life: Option<BackendLife>,
     per_s: Option<f64>,
@@ -61,7 +61,7 @@
     counted: Duration,
 }
 
-impl ServerLimit {
+impl ServerRateLimit {
     // Learning
 
     /// The life that counts; a limit of another one is over.
@@ -88,15 +88,15 @@
         now: Duration,
         life: &BackendLife,
         began: Duration,
-        limit: AdvertisedLimit,
-    ) -> Option<LimitChange> {
+        limit: AdvertisedRateLimit,
+    ) -> Option<RateLimitChange> {
         if !self.is_of(life) {
             return None;
         }
         let per_s = match limit {
-            AdvertisedLimit::Malformed => return None,
-            AdvertisedLimit::PerSecond(per_s) => Some(per_s),
-            AdvertisedLimit::None => None,
+            AdvertisedRateLimit::Malformed => return None,
+            AdvertisedRateLimit::PerSecond(per_s) => Some(per_s),
+            AdvertisedRateLimit::None => None,
         };
         self.is_first_hand = true;
         if per_s.is_none() && began + self.heard_age < self.heard {
@@ -116,7 +116,7 @@
         now: Duration,
         life: &BackendLife,
         known: KnownLimit,
-    ) -> Option<LimitChange> {
+    ) -> Option<RateLimitChange> {
         let age = Duration::from_millis(known.age_ms);
         let is_news = self.per_s.is_none() || age < self.age(now);
         if self.is_first_hand || !self.is_of(life) || !is_news {
@@ -184,7 +184,7 @@
         self.heard_age = age;
     }
 
-    fn set(&mut self, now: Duration, per_s: Option<f64>) -> Option<LimitChange> {
+    fn set(&mut self, now: Duration, per_s: Option<f64>) -> Option<RateLimitChange> {
         self.count(now);
         let from_per_s = std::mem::replace(&mut self.per_s, per_s);
         // What a higher limit has left must not pass for room under a lower one.
@@ -192,7 +192,7 @@
             None => 0.0,
             Some(_) => self.tokens.min(self.capacity()),
         };
-        (from_per_s != per_s).then_some(LimitChange {
+        (from_per_s != per_s).then_some(RateLimitChange {
             from_per_s,
             to_per_s: per_s,
         })
--- a/crates/kumquatquay-core/src/routed/split.rs
+++ b/crates/kumquatquay-core/src/routed/weighted_split.rs
@@ -11,14 +11,14 @@
 
 /// Splits calls by weight, evenly over any span of them.
 #[derive(Debug)]
-pub struct Split {
+pub struct WeightedSplit {
     /// Services with the end of their part of the range from 0 to 1.
     parts: Vec<(f64, ServiceName)>,
     phase: f64,
     taken: AtomicU64,
 }
 
-impl Split {
+impl WeightedSplit {
     /// Splits by the weights of `destinations`, beginning at `phase`.
     pub fn new(destinations: &[Destination], phase: f64) -> Self {
         let total: f64 = destinations.iter().map(|part| f64::from(part.weight)).sum();
--- a/crates/kumquatquay-core/src/routed/workspaces.rs
+++ b/crates/kumquatquay-core/src/routed/workspaces.rs
@@ -11,27 +11,27 @@
 
 /// The key that a caller shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum KeyClaim {
+pub enum PresentedKey {
     /// None.
     #[default]
     Missing,
     /// One.
-    Shown(KeyDigest),
+    Present(KeyDigest),
     /// What it shows can't be read, or there are several.
     Malformed,
 }
 
 /// What a key says of a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeyVerdict {
+pub enum CallerIdentity {
     /// The route asks for no key, and none that is known was shown.
-    NotAsked,
+    Anonymous,
     /// The key is held by this workspace.
     Workspace(Arc<WorkspaceSettings>),
     /// The route asks for a key and none that can be read was shown.
-    Missing,
+    MissingKey,
     /// No workspace of this configuration holds the key; a newer one may know it.
-    Unknown,
+    UnknownKey,
 }
 
 /// The workspaces of a configuration, by their keys.
@@ -85,19 +85,19 @@
     }
 
     /// Finds out who a caller on a route is.
-    pub fn identify(&self, route: &RouteSettings, key: KeyClaim) -> KeyVerdict {
+    pub fn identify(&self, route: &RouteSettings, key: PresentedKey) -> CallerIdentity {
         if !self.asks_for_keys {
-            return KeyVerdict::NotAsked;
+            return CallerIdentity::Anonymous;
         }
         let known = match key {
-            KeyClaim::Shown(key) => self.by_key.get(&key),
-            KeyClaim::Missing | KeyClaim::Malformed => None,
+            PresentedKey::Present(key) => self.by_key.get(&key),
+            PresentedKey::Missing | PresentedKey::Malformed => None,
         };
         match (known, key) {
-            (Some(workspace), _) => KeyVerdict::Workspace(Arc::clone(workspace)),
-            (None, _) if route.is_public => KeyVerdict::NotAsked,
-            (None, KeyClaim::Shown(_)) => KeyVerdict::Unknown,
-            (None, KeyClaim::Missing | KeyClaim::Malformed) => KeyVerdict::Missing,
+            (Some(workspace), _) => CallerIdentity::Workspace(Arc::clone(workspace)),
+            (None, _) if route.is_public => CallerIdentity::Anonymous,
+            (None, PresentedKey::Present(_)) => CallerIdentity::UnknownKey,
+            (None, PresentedKey::Missing | PresentedKey::Malformed) => CallerIdentity::MissingKey,
         }
     }
 }
--- a/crates/kumquatquay-core/tests/routed/backend_pulse.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_pulse.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::BackendPulse;
+use kumquatquay_core::routed::BackendLiveness;
 
 use crate::at_ms;
 
@@ -12,7 +12,7 @@
 /// calls hang on them until their deadlines, and more would follow.
 #[test]
 fn hanging_calls_without_any_answer_are_silence() {
-    let mut pulse = BackendPulse::default();
+    let mut pulse = BackendLiveness::default();
     for call in 0..10 {
         pulse.began(at_ms(call * 5));
     }
@@ -23,7 +23,7 @@
 /// It became five times slower; its answers still come one after the other.
 #[test]
 fn a_slow_one_is_not_silent() {
-    let mut pulse = BackendPulse::default();
+    let mut pulse = BackendLiveness::default();
     for call in 0..20 {
         pulse.began(at_ms(call * 10));
     }
@@ -37,14 +37,14 @@
 /// One long call alone says nothing of the backend server.
 #[test]
 fn one_call_may_take_long() {
-    let mut pulse = BackendPulse::default();
+    let mut pulse = BackendLiveness::default();
     pulse.began(at_ms(0));
     assert!(!pulse.is_silent(at_ms(5_000), WORK));
 }
 
 #[test]
 fn calls_that_are_given_up_are_no_sign() {
-    let mut pulse = BackendPulse::default();
+    let mut pulse = BackendLiveness::default();
     for _ in 0..4 {
         pulse.began(at_ms(0));
     }
@@ -55,7 +55,7 @@
 /// After a quiet hour the first calls are not measured against the last answer.
 #[test]
 fn an_idle_one_is_not_silent() {
-    let mut pulse = BackendPulse::default();
+    let mut pulse = BackendLiveness::default();
     pulse.began(at_ms(3_600_000));
     pulse.began(at_ms(3_600_001));
     assert!(!pulse.is_silent(at_ms(3_600_100), WORK));
--- a/crates/kumquatquay-core/tests/routed/call_mesh.rs
+++ b/crates/kumquatquay-core/tests/routed/call_mesh.rs
@@ -8,8 +8,8 @@
 };
 
 use kumquatquay_core::routed::{
-    Admission, AdvertisedLimit, EntryLevels, EntryRequest, GateCall, HostGate, LevelSetter,
-    QueueOrder, RouteRun,
+    Admission, AdvertisedRateLimit, EntryAdmission, EntryRequest, GateCall, HostGate,
+    LevelController, QueueOrder, RouteRunTime,
 };
 use kumquatquay_wire::{
     BackendLife,
@@ -117,7 +117,7 @@
 
 struct Gate {
     gate: HostGate<Call>,
-    level: LevelSetter,
+    level: LevelController,
 }
 
 /// Entries, the gates of one service, and requests that come at random.
@@ -125,7 +125,7 @@
     settings: MeshSettings,
     kinds: Vec<Kind>,
     ranks: BTreeMap<String, Priority>,
-    entries: Vec<EntryLevels>,
+    entries: Vec<EntryAdmission>,
     gates: Vec<Gate>,
     told: BTreeMap<(usize, usize, usize), Duration>,
     /// By entry and gate: until when the entry leaves the gate out for its limit.
@@ -152,13 +152,13 @@
             gate.set_limit_count(settings.slots_count / settings.gates_count);
             Gate {
                 gate,
-                level: LevelSetter::default(),
+                level: LevelController::default(),
             }
         };
         let ranks = kinds
             .iter()
             .map(|kind| (String::from(kind.route), kind.rank));
-        let entries = (0..settings.entries_count).map(|_| EntryLevels::default());
+        let entries = (0..settings.entries_count).map(|_| EntryAdmission::default());
         Self {
             settings,
             ranks: ranks.collect(),
@@ -183,7 +183,7 @@
         for gate in &mut self.gates[..gates_count] {
             let limit = gate.gate.server_limit_mut();
             limit.on_life(&life);
-            let advertised = AdvertisedLimit::PerSecond(per_s);
+            let advertised = AdvertisedRateLimit::PerSecond(per_s);
             limit.on_answer(Duration::ZERO, &life, Duration::ZERO, advertised);
         }
     }
@@ -388,7 +388,9 @@
         if (self.watched_from..self.watched_until).contains(&now) {
             self.busy += work;
         }
-        self.gates[gate].gate.ended(Some(RouteRun { route, work }));
+        self.gates[gate]
+            .gate
+            .ended(Some(RouteRunTime { route, work }));
         self.admit_waiting(now, gate);
         self.tell(now, gate, call);
         let call = Call {
--- a/crates/kumquatquay-core/tests/routed/entry_levels.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_levels.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-use kumquatquay_core::routed::{EntryLevels, EntryRequest, Shortage};
+use kumquatquay_core::routed::{EntryAdmission, EntryRequest, Shortage};
 use kumquatquay_wire::routed::{GateReport, RouteNews, ServiceDemand};
 use quickcheck::quickcheck;
 
@@ -30,8 +30,8 @@
 }
 
 /// History and settlement requests make eight calls each at the register, uploads none.
-fn levels() -> EntryLevels {
-    let mut levels = EntryLevels::default();
+fn levels() -> EntryAdmission {
+    let mut levels = EntryAdmission::default();
     for (route, service, _, is_from_outside) in ROUTES {
         let mut leads_to = vec![demand(service, 1.0)];
         if route == "history" || route == "settle" {
@@ -51,7 +51,7 @@
     SocketAddr::from(([10, 0, 0, 2], number))
 }
 
-fn report_level(levels: &mut EntryLevels, at: u64, gate: u16, level: f64) {
+fn report_level(levels: &mut EntryAdmission, at: u64, gate: u16, level: f64) {
     let report = GateReport {
         limit_count: 30,
         work_us: 22_000,
@@ -62,7 +62,7 @@
     levels.on_gate(at_ms(at), "register", gate, &report);
 }
 
-fn admit(levels: &mut EntryLevels, at: u64, route: &str, place: f64) -> Result<(), Shortage> {
+fn admit(levels: &mut EntryAdmission, at: u64, route: &str, place: f64) -> Result<(), Shortage> {
     let (_, service, priority, _) = ROUTES
         .into_iter()
         .find(|(name, ..)| *name == route)
@@ -76,18 +76,18 @@
     levels.admit(at_ms(at), &request, &ranks())
 }
 
-fn is_admitted(levels: &mut EntryLevels, at: u64, route: &str, place: f64) -> bool {
+fn is_admitted(levels: &mut EntryAdmission, at: u64, route: &str, place: f64) -> bool {
     admit(levels, at, route, place).is_ok()
 }
 
 /// Offers two history requests for each settlement.
-fn offer(levels: &mut EntryLevels) {
+fn offer(levels: &mut EntryAdmission) {
     for _ in 0..100 {
         offer_at(levels, 0);
     }
 }
 
-fn offer_at(levels: &mut EntryLevels, at: u64) {
+fn offer_at(levels: &mut EntryAdmission, at: u64) {
     is_admitted(levels, at, "history", 0.0);
     is_admitted(levels, at, "history", 0.0);
     is_admitted(levels, at, "settle", 0.0);
@@ -164,7 +164,7 @@
 }
 
 /// Why the request that is refused first among those of its priority isn't admitted.
-fn refusal(levels: &mut EntryLevels, at: u64, route: &str) -> Shortage {
+fn refusal(levels: &mut EntryAdmission, at: u64, route: &str) -> Shortage {
     admit(levels, at, route, 0.999).unwrap_err()
 }
 
@@ -224,7 +224,7 @@
 }
 
 /// A gate of the survey service reports the calls that an upload makes at the register.
-fn report_uploads(levels: &mut EntryLevels, number: u16, calls: f32, is_settled: bool) {
+fn report_uploads(levels: &mut EntryAdmission, number: u16, calls: f32, is_settled: bool) {
     let mut leads_to = vec![demand("survey", 1.0)];
     if calls > 0.0 {
         leads_to.push(demand("register", calls));
@@ -237,7 +237,7 @@
     levels.on_route(at_ms(0), "upload", "survey", gate(number), news);
 }
 
-fn calls_of_uploads(levels: &EntryLevels) -> f32 {
+fn calls_of_uploads(levels: &EntryAdmission) -> f32 {
     let leads_to = levels.leads_to(at_ms(1), "upload", "survey").iter();
     let calls = leads_to.filter(|demand| demand.service == "register");
     calls.map(|demand| demand.calls).sum()
@@ -248,7 +248,7 @@
 /// that they never reach.
 #[test]
 fn the_wrong_update_of_one_host_has_no_effect() {
-    let mut levels = EntryLevels::default();
+    let mut levels = EntryAdmission::default();
     for number in 1..=9 {
         report_uploads(&mut levels, number, 0.0, true);
     }
@@ -258,7 +258,7 @@
 
 #[test]
 fn the_median_of_the_hosts_counts() {
-    let mut levels = EntryLevels::default();
+    let mut levels = EntryAdmission::default();
     for (number, calls) in [(1, 1.7), (2, 3.9), (3, 6.8), (4, 3.4), (5, 3.6)] {
         report_uploads(&mut levels, number, calls, true);
     }
@@ -270,7 +270,7 @@
 /// none of them counts.
 #[test]
 fn hosts_that_have_seen_no_calls_yet_do_not_count() {
-    let mut levels = EntryLevels::default();
+    let mut levels = EntryAdmission::default();
     for number in 1..=4 {
         report_uploads(&mut levels, number, 0.0, false);
     }
@@ -339,7 +339,7 @@
 /// settlements leave.
 #[test]
 fn the_load_of_a_route_is_the_slot_time_of_its_calls() {
-    let mut levels = EntryLevels::default();
+    let mut levels = EntryAdmission::default();
     for (route, service, work_us) in [
         ("history", "archive", 176_000),
         ("settle", "settlement", 22_000),
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use kumquatquay_core::routed::{
-    EntryLine, EntryQueue, HoldOffer, HoldOutcome, HoldRequest, Released, RetryAfter,
+    EntryQueue, FlowKey, HoldDecision, HoldRequest, ReleaseReason, ReleasedRequest, RetryAfter,
 };
 use quickcheck::{TestResult, quickcheck};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -13,8 +13,8 @@
 const TARGET: Duration = Duration::from_secs(5);
 const NEEDED: Duration = Duration::from_millis(900);
 
-fn line(priority: u32) -> EntryLine {
-    EntryLine {
+fn line(priority: u32) -> FlowKey {
+    FlowKey {
         route: String::from("timetable"),
         service: String::from("schedule"),
         priority,
@@ -31,7 +31,7 @@
     queue
 }
 
-fn offer(queue: &mut EntryQueue<u32>, at: u64, chance: f64, ticket: u32) -> HoldOffer {
+fn offer(queue: &mut EntryQueue<u32>, at: u64, chance: f64, ticket: u32) -> HoldDecision {
     let request = HoldRequest {
         line: &line(2),
         chance,
@@ -45,11 +45,11 @@
 /// Offers requests until one is held, which uses up the credit of its line; returns its ticket.
 fn held(queue: &mut EntryQueue<u32>, at: u64, chance: f64) -> u32 {
     (0..10)
-        .find(|ticket| matches!(offer(queue, at, chance, *ticket), HoldOffer::Held(_)))
+        .find(|ticket| matches!(offer(queue, at, chance, *ticket), HoldDecision::Held(_)))
         .unwrap()
 }
 
-fn outcomes(released: &[Released<u32>]) -> Vec<HoldOutcome> {
+fn outcomes(released: &[ReleasedRequest<u32>]) -> Vec<ReleaseReason> {
     released.iter().map(|released| released.outcome).collect()
 }
 
@@ -58,7 +58,7 @@
     let mut queue = queue();
     for ticket in 0..100 {
         let at = u64::from(ticket) * 10;
-        assert_eq!(offer(&mut queue, at, 1.0, ticket), HoldOffer::Admitted);
+        assert_eq!(offer(&mut queue, at, 1.0, ticket), HoldDecision::Admitted);
     }
     assert_eq!(queue.held_count(), 0);
 }
@@ -72,7 +72,7 @@
         .find_map(|at| queue.release(at_ms(at), |_| 1.0).pop());
     let released = released.unwrap();
     assert_eq!(released.ticket, ticket);
-    assert_eq!(released.outcome, HoldOutcome::Room);
+    assert_eq!(released.outcome, ReleaseReason::RoomAvailable);
     assert_eq!((queue.held_count(), queue.held_bytes()), (0, 0));
 }
 
@@ -84,7 +84,7 @@
     held(&mut queue, 0, 0.6);
     // No release runs before this one, so none has refused the request for lack of room.
     let released = queue.release(at_ms(0) + TARGET - NEEDED, |_| 0.0);
-    assert_eq!(outcomes(&released), [HoldOutcome::Due]);
+    assert_eq!(outcomes(&released), [ReleaseReason::WaitExhausted]);
 }
 
 #[test]
@@ -98,7 +98,7 @@
         .unwrap();
     assert!(matches!(
         outcomes(&released)[..],
-        [HoldOutcome::NoRoom { .. }]
+        [ReleaseReason::NoRoom { .. }]
     ));
     assert!(at < 3_000, "{at}");
 }
@@ -111,7 +111,7 @@
     }
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.2, ticket);
-        assert!(!matches!(offer, HoldOffer::Held(_)));
+        assert!(!matches!(offer, HoldDecision::Held(_)));
     }
 }
 
@@ -122,7 +122,7 @@
     let mut queue = EntryQueue::default();
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.2, ticket);
-        assert!(!matches!(offer, HoldOffer::Held(_)));
+        assert!(!matches!(offer, HoldDecision::Held(_)));
     }
 }
 
@@ -131,7 +131,7 @@
     let mut queue = queue();
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.0, ticket);
-        assert!(!matches!(offer, HoldOffer::Held(_)), "{offer:?}");
+        assert!(!matches!(offer, HoldDecision::Held(_)), "{offer:?}");
     }
 }
 
@@ -140,7 +140,7 @@
     let mut queue = queue();
     let keys: Vec<_> = (0..20)
         .filter_map(|ticket| match offer(&mut queue, 0, 0.5, ticket) {
-            HoldOffer::Held(key) => Some(key),
+            HoldDecision::Held(key) => Some(key),
             _ => None,
         })
         .collect();
@@ -205,7 +205,7 @@
             };
             let mut random = StdRng::seed_from_u64(ticket as u64);
             let offer = queue.offer(now, &request, ticket, &mut random);
-            held += usize::from(matches!(offer, HoldOffer::Held(_)));
+            held += usize::from(matches!(offer, HoldDecision::Held(_)));
             held -= queue.release(now, |_| chance).len();
             if queue.held_count() != held || queue.held_bytes() > 4 * 1024 * 1024 {
                 return TestResult::failed();
@@ -330,10 +330,12 @@
                 offers += 1.0;
                 chance
             });
-            for Released { ticket, outcome } in released {
+            for ReleasedRequest { ticket, outcome } in released {
                 match outcome {
-                    HoldOutcome::Room | HoldOutcome::Due => self.admit(now, ticket),
-                    HoldOutcome::NoRoom { room_in } => {
+                    ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => {
+                        self.admit(now, ticket)
+                    }
+                    ReleaseReason::NoRoom { room_in } => {
                         self.totals.held_then_refused += 1.0;
                         self.refuse(now, ticket, room_in);
                     }
@@ -364,9 +366,9 @@
             held_bytes: 1_000,
         };
         match self.entries[entry].offer(now, &request, sent, &mut self.random) {
-            HoldOffer::Admitted => self.admit(now, sent),
-            HoldOffer::Held(_) => self.totals.held += 1.0,
-            HoldOffer::Refused { room_in } => self.refuse(now, sent, room_in),
+            HoldDecision::Admitted => self.admit(now, sent),
+            HoldDecision::Held(_) => self.totals.held += 1.0,
+            HoldDecision::Refused { room_in } => self.refuse(now, sent, room_in),
         }
     }
 
--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -12,7 +12,7 @@
     time::Duration,
 };
 
-use kumquatquay_core::routed::{RetryWindow, RunFailures, TargetEnded, TargetTable};
+use kumquatquay_core::routed::{EndpointResult, LoadBalancer, RetryBudget, RunFailures};
 use kumquatquay_wire::{BackendLife, MemberRecord, MemberState, routed::GateReport};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -65,7 +65,7 @@
 
 struct Mesh {
     servers: Vec<Server>,
-    callers: Vec<(TargetTable, RetryWindow)>,
+    callers: Vec<(LoadBalancer, RetryBudget)>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
     random: StdRng,
@@ -77,9 +77,9 @@
     fn new(seed: u64) -> Self {
         let members: Vec<MemberRecord> = (0..SERVERS_COUNT).map(member).collect();
         let callers = (0..CALLERS_COUNT).map(|_| {
-            let mut table = TargetTable::default();
+            let mut table = LoadBalancer::default();
             table.rebuild("near", members.iter());
-            let budget = RetryWindow::new(Duration::from_secs(10), 0.07, 2.0);
+            let budget = RetryBudget::new(Duration::from_secs(10), 0.07, 2.0);
             (table, budget)
         });
         Self {
@@ -160,7 +160,7 @@
         let fails = server == 0 && now >= at_ms(FAILS_AT_MS);
         let report = self.report(now, server, fails);
         let (table, budget) = &mut self.callers[call.caller];
-        table.ended(now, address(server), TargetEnded::Answered, Some(report));
+        table.ended(now, address(server), EndpointResult::Answered, Some(report));
         if !fails {
             let next = Call {
                 done_count: call.done_count + 1,
--- a/crates/kumquatquay-core/tests/routed/gate_repeats.rs
+++ b/crates/kumquatquay-core/tests/routed/gate_repeats.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{GateRepeats, RetryWindow, TurnedAwayCall};
+use kumquatquay_core::routed::{GateRetries, RejectedCall, RetryBudget};
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -11,8 +11,8 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const RATIO: f64 = 0.06;
 
-fn repeats() -> GateRepeats {
-    GateRepeats::new(RetryWindow::new(WINDOW, RATIO, 0.0))
+fn repeats() -> GateRetries {
+    GateRetries::new(RetryBudget::new(WINDOW, RATIO, 0.0))
 }
 
 /// What became of the calls of one kind.
@@ -31,7 +31,7 @@
 
 /// Hands a call over until it is served or given up.
 fn hand_over(
-    repeats: &mut GateRepeats,
+    repeats: &mut GateRetries,
     at: u64,
     is_from_outside: bool,
     turns_away: &mut impl FnMut() -> bool,
@@ -46,7 +46,7 @@
             counts.served += 1;
             return;
         }
-        let call = TurnedAwayCall {
+        let call = RejectedCall {
             is_from_outside,
             hand_overs_count,
         };
--- a/crates/kumquatquay-core/tests/routed/host_gate.rs
+++ b/crates/kumquatquay-core/tests/routed/host_gate.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{Admission, BackendLoad, GateCall, HostGate, QueueOrder, RouteRun};
+use kumquatquay_core::routed::{
+    Admission, BackendLoad, GateCall, HostGate, QueueOrder, RouteRunTime,
+};
 use quickcheck::quickcheck;
 
 use crate::at_ms;
@@ -17,8 +19,8 @@
     }
 }
 
-fn run(work_ms: u64) -> RouteRun<'static> {
-    RouteRun {
+fn run(work_ms: u64) -> RouteRunTime<'static> {
+    RouteRunTime {
         route: "call",
         work: Duration::from_millis(work_ms),
     }
@@ -153,7 +155,7 @@
             .filter(|((_, end_ms), due_ms)| end_ms <= due_ms);
         timely.count()
     };
-    assert_eq!(timely_count(QueueOrder::EarliestDue), 0);
+    assert_eq!(timely_count(QueueOrder::EarliestDeadline), 0);
     assert_eq!(timely_count(QueueOrder::LateLast), 2);
 }
 
--- a/crates/kumquatquay-core/tests/routed/level_setter.rs
+++ b/crates/kumquatquay-core/tests/routed/level_setter.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use kumquatquay_core::routed::{GateState, LevelSetter};
+use kumquatquay_core::routed::{GateState, LevelController};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::at_ms;
@@ -10,7 +10,7 @@
 /// One gate with 30 slots, whose calls take 22 ms, and entries that hear its level
 /// `delay_spans` tenths of a second later.
 struct Loop {
-    setter: LevelSetter,
+    setter: LevelController,
     random: StdRng,
     levels: VecDeque<f64>,
     waiting: f64,
@@ -32,7 +32,7 @@
 impl Loop {
     fn new(delay_spans: usize) -> Self {
         Self {
-            setter: LevelSetter::default(),
+            setter: LevelController::default(),
             random: StdRng::seed_from_u64(3),
             levels: VecDeque::from(vec![1.0; delay_spans]),
             waiting: 0.0,
--- a/crates/kumquatquay-core/tests/routed/route_works.rs
+++ b/crates/kumquatquay-core/tests/routed/route_works.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{RouteRun, RouteWorks};
+use kumquatquay_core::routed::{RouteRunTime, RouteRunTimes};
 use quickcheck::quickcheck;
 
 use crate::at_ms;
 
-fn run(route: &str, work_ms: u64) -> RouteRun<'_> {
-    RouteRun {
+fn run(route: &str, work_ms: u64) -> RouteRunTime<'_> {
+    RouteRunTime {
         route,
         work: at_ms(work_ms),
     }
 }
 
 /// One call in fifty runs for 880 ms, the others for 55.
-fn mixed() -> RouteWorks {
-    let mut works = RouteWorks::default();
+fn mixed() -> RouteRunTimes {
+    let mut works = RouteRunTimes::default();
     for number in 0..2_000 {
         let is_long = number % 50 == 49;
         works.ended(if is_long {
@@ -54,7 +54,7 @@
 
 #[test]
 fn without_routes_all_calls_are_alike() {
-    let mut works = RouteWorks::default().without_routes();
+    let mut works = RouteRunTimes::default().without_routes();
     for _ in 0..100 {
         works.ended(run("quote", 40));
         works.ended(run("times", 80));
@@ -66,7 +66,7 @@
     /// However many routes there are, few are told apart, and the mean lies between the shortest
     /// and the longest time.
     fn any_routes_leave_a_mean(runs: Vec<(u16, u16)>) -> bool {
-        let mut works = RouteWorks::default();
+        let mut works = RouteRunTimes::default();
         for (route, work_ms) in &runs {
             works.ended(run(&route.to_string(), u64::from(*work_ms)));
         }
--- a/crates/kumquatquay-core/tests/routed/server_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_limit.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use kumquatquay_core::routed::{
-    Admission, AdvertisedLimit, BackendLoad, GateCall, HostGate, RouteRun, ServerLimit,
+    Admission, AdvertisedRateLimit, BackendLoad, GateCall, HostGate, RouteRunTime, ServerRateLimit,
 };
 use kumquatquay_wire::{
     BackendLife,
@@ -30,14 +30,14 @@
     BackendLife::untold(String::from(name))
 }
 
-fn limited(per_s: f64) -> ServerLimit {
-    let mut limit = ServerLimit::default();
+fn limited(per_s: f64) -> ServerRateLimit {
+    let mut limit = ServerRateLimit::default();
     limit.on_life(&life("a"));
     limit.on_answer(
         at_ms(0),
         &life("a"),
         at_ms(0),
-        AdvertisedLimit::PerSecond(per_s),
+        AdvertisedRateLimit::PerSecond(per_s),
     );
     limit
 }
@@ -51,7 +51,7 @@
 
 /// Takes a token whenever there is one, at each millisecond from `from_ms` to `to_ms`, and counts
 /// them.
-fn take_all(limit: &mut ServerLimit, from_ms: u64, to_ms: u64) -> usize {
+fn take_all(limit: &mut ServerRateLimit, from_ms: u64, to_ms: u64) -> usize {
     let mut count = 0;
     for ms in from_ms..to_ms {
         while limit.has_token(at_ms(ms)) {
@@ -103,7 +103,7 @@
         at_ms(10_000),
         &life("a"),
         at_ms(9_990),
-        AdvertisedLimit::PerSecond(1.0),
+        AdvertisedRateLimit::PerSecond(1.0),
     );
     assert!(take_all(&mut limit, 10_000, 14_000) <= 5);
 }
@@ -125,20 +125,20 @@
         at_ms(2_000),
         &life("a"),
         at_ms(1_900),
-        AdvertisedLimit::PerSecond(1.0),
+        AdvertisedRateLimit::PerSecond(1.0),
     );
     let change = limit.on_answer(
         at_ms(2_100),
         &life("a"),
         at_ms(1_500),
-        AdvertisedLimit::None,
+        AdvertisedRateLimit::None,
     );
     assert_eq!((change, limit.per_s()), (None, Some(1.0)));
     let change = limit.on_answer(
         at_ms(2_200),
         &life("a"),
         at_ms(2_050),
-        AdvertisedLimit::None,
+        AdvertisedRateLimit::None,
     );
     assert_eq!(change.unwrap().to_per_s, None);
     assert_eq!(limit.per_s(), None);
@@ -151,7 +151,7 @@
         at_ms(2_000),
         &life("a"),
         at_ms(1_900),
-        AdvertisedLimit::Malformed,
+        AdvertisedRateLimit::Malformed,
     );
     assert_eq!((change, limit.per_s()), (None, Some(2.0)));
 }
@@ -180,7 +180,7 @@
         at_ms(9),
         &life("a"),
         at_ms(8),
-        AdvertisedLimit::PerSecond(3.0),
+        AdvertisedRateLimit::PerSecond(3.0),
     );
     assert_eq!(limit.per_s(), Some(3.0));
     let next = BackendLife {
@@ -195,7 +195,7 @@
 /// applies until the backend server itself answers.
 #[test]
 fn a_restarted_node_learns_the_limit_from_its_callers() {
-    let mut limit = ServerLimit::default();
+    let mut limit = ServerRateLimit::default();
     limit.on_life(&life("a"));
     let of_another = limit.on_told(at_ms(10), &life("b"), known(9.0, 0));
     assert_eq!(of_another, None);
@@ -204,7 +204,7 @@
     limit.on_told(at_ms(30), &life("a"), known(4.0, 8_000));
     assert_eq!(limit.per_s(), Some(3.0));
     assert_eq!(limit.age(at_ms(30)), Duration::from_millis(1_010));
-    limit.on_answer(at_ms(200), &life("a"), at_ms(15), AdvertisedLimit::None);
+    limit.on_answer(at_ms(200), &life("a"), at_ms(15), AdvertisedRateLimit::None);
     assert_eq!(limit.per_s(), None);
     limit.on_told(at_ms(210), &life("a"), known(2.0, 0));
     assert_eq!(limit.per_s(), None);
@@ -241,7 +241,7 @@
         at_ms(0),
         &life("a"),
         at_ms(0),
-        AdvertisedLimit::PerSecond(per_s),
+        AdvertisedRateLimit::PerSecond(per_s),
     );
     gate
 }
@@ -275,7 +275,7 @@
         let priority = if ticket % 2 == 0 { 0 } else { 2 };
         gate.offer(at_ms(0), call(0, priority), ticket);
     }
-    let limit = AdvertisedLimit::PerSecond(20.0);
+    let limit = AdvertisedRateLimit::PerSecond(20.0);
     gate.server_limit_mut()
         .on_answer(at_ms(100), &life("a"), at_ms(50), limit);
     let shed = gate.shed(at_ms(100));
@@ -289,7 +289,7 @@
 fn a_limit_reduces_the_reported_slots() {
     let mut gate = limited_gate(20.0);
     for _ in 0..100 {
-        let run = RouteRun {
+        let run = RouteRunTime {
             route: "r",
             work: Duration::from_millis(50),
         };
@@ -311,7 +311,7 @@
     callers: Vec<usize>,
     /// Calls at the backend server: end, start, caller.
     running: Vec<(u64, u64, usize)>,
-    limit: AdvertisedLimit,
+    limit: AdvertisedRateLimit,
     first_advertised_ms: Option<u64>,
     /// The advertised limit in calls a second, at each check; infinite without a limit.
     limits: Vec<f64>,
@@ -348,7 +348,7 @@
             gate: new_gate(),
             callers: Vec::new(),
             running: Vec::new(),
-            limit: AdvertisedLimit::None,
+            limit: AdvertisedRateLimit::None,
             first_advertised_ms: None,
             limits: Vec::new(),
             allowed: Vec::new(),
@@ -367,7 +367,7 @@
 
     /// The backend server changes the limit that it advertises.
     fn advertise(&mut self, per_s: Option<f64>) {
-        self.limit = per_s.map_or(AdvertisedLimit::None, AdvertisedLimit::PerSecond);
+        self.limit = per_s.map_or(AdvertisedRateLimit::None, AdvertisedRateLimit::PerSecond);
         if per_s.is_some() {
             self.first_advertised_ms.get_or_insert(self.now_ms);
         }
@@ -433,7 +433,7 @@
                 running_count: self.running.len(),
                 waiting_count: 0,
             });
-            self.gate.ended(Some(RouteRun {
+            self.gate.ended(Some(RouteRunTime {
                 route: "r",
                 work: at_ms(self.now_ms - began_ms),
             }));
@@ -446,7 +446,7 @@
                 };
                 (known, self.now_ms)
             });
-            if matches!(self.limit, AdvertisedLimit::PerSecond(_)) {
+            if matches!(self.limit, AdvertisedRateLimit::PerSecond(_)) {
                 self.first_reported_ms[caller].get_or_insert(self.now_ms);
             }
         }
@@ -456,7 +456,7 @@
     /// an answer, so at each time the highest limit of the last half second is allowed.
     fn check_window(&mut self) {
         self.limits.push(match self.limit {
-            AdvertisedLimit::PerSecond(per_s) => per_s,
+            AdvertisedRateLimit::PerSecond(per_s) => per_s,
             _ => f64::INFINITY,
         });
         let delay_checks = (REPORT_DELAY_MS / CHECK_INTERVAL_MS) as usize;
--- a/crates/kumquatquay-core/tests/routed/split.rs
+++ b/crates/kumquatquay-core/tests/routed/split.rs
@@ -1,6 +1,6 @@
 //! How the calls of a route are split among services.
 
-use kumquatquay_core::routed::Split;
+use kumquatquay_core::routed::WeightedSplit;
 use kumquatquay_wire::routed::Destination;
 use quickcheck::quickcheck;
 
@@ -16,7 +16,7 @@
 }
 
 /// Calls that the first service gets of the next `count`.
-fn first_count(split: &Split, count: usize) -> usize {
+fn first_count(split: &WeightedSplit, count: usize) -> usize {
     let services = (0..count).filter_map(|_| split.next());
     services.filter(|service| *service == "0").count()
 }
@@ -25,7 +25,7 @@
     fn any_span_of_calls_keeps_the_shares(weight: u8, skipped: u8, phase: f64) -> bool {
         let weight = u32::from(weight) % 99 + 1;
         let phase = if phase.is_finite() { phase.fract().abs() } else { 0.0 };
-        let split = Split::new(&destinations(&[weight, 100 - weight]), phase);
+        let split = WeightedSplit::new(&destinations(&[weight, 100 - weight]), phase);
         first_count(&split, usize::from(skipped));
         let expected = f64::from(weight) * 3.0;
         (first_count(&split, 300) as f64 - expected).abs() <= 4.0
@@ -41,7 +41,7 @@
     let nodes_count = 59;
     let phases = (0..nodes_count).map(|node| f64::from(node) / f64::from(nodes_count));
     let counts = phases.map(|phase| {
-        let split = Split::new(&destinations(&[90, 10]), phase);
+        let split = WeightedSplit::new(&destinations(&[90, 10]), phase);
         first_count(&split, 6)
     });
     let first: usize = counts.sum();
@@ -51,11 +51,11 @@
 
 #[test]
 fn a_service_of_weight_zero_gets_nothing() {
-    let split = Split::new(&destinations(&[0, 1]), 0.0);
+    let split = WeightedSplit::new(&destinations(&[0, 1]), 0.0);
     assert_eq!(first_count(&split, 100), 0);
 }
 
 #[test]
 fn without_destinations_there_is_none() {
-    assert_eq!(Split::new(&[], 0.5).next(), None);
+    assert_eq!(WeightedSplit::new(&[], 0.5).next(), None);
 }
--- a/crates/kumquatquay-core/tests/routed/target_table.rs
+++ b/crates/kumquatquay-core/tests/routed/target_table.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use kumquatquay_core::routed::{TargetEnded, TargetTable};
+use kumquatquay_core::routed::{EndpointResult, LoadBalancer};
 use kumquatquay_wire::{
     BackendLife, MemberRecord, MemberState,
     routed::{GateReport, RateReport},
@@ -44,24 +44,24 @@
 }
 
 /// A table with hosts 1 and 2 in the own data centre and host 3 in another one.
-fn table() -> (TargetTable, StdRng) {
+fn table() -> (LoadBalancer, StdRng) {
     let members = [
         member(1, "near", MemberState::Serving),
         member(2, "near", MemberState::Serving),
         member(3, "far", MemberState::Serving),
     ];
-    let mut table = TargetTable::default();
+    let mut table = LoadBalancer::default();
     table.rebuild("near", members.iter());
     (table, StdRng::seed_from_u64(1))
 }
 
-fn end_call(table: &mut TargetTable, host: u8, how: TargetEnded, report: GateReport) {
+fn end_call(table: &mut LoadBalancer, host: u8, how: EndpointResult, report: GateReport) {
     table.ended(at_ms(0), address(host), how, Some(report));
 }
 
 /// Sends `count` calls, each of which ends at once, and counts them by host.
 fn calls_by_host(
-    table: &mut TargetTable,
+    table: &mut LoadBalancer,
     random: &mut StdRng,
     count: usize,
 ) -> BTreeMap<u8, usize> {
@@ -70,7 +70,7 @@
         let choice = table
             .choose(at_ms(0), "archive", &[], false, random)
             .unwrap();
-        table.ended(at_ms(0), choice.control, TargetEnded::GivenUp, None);
+        table.ended(at_ms(0), choice.control, EndpointResult::Cancelled, None);
         let SocketAddr::V4(control) = choice.control else {
             panic!("an IPv4 address");
         };
@@ -90,9 +90,9 @@
 fn calls_go_to_another_data_centre_when_the_own_one_is_full() {
     let (mut table, mut random) = table();
     for host in [1, 2] {
-        end_call(&mut table, host, TargetEnded::Answered, report(25, 20));
+        end_call(&mut table, host, EndpointResult::Answered, report(25, 20));
     }
-    end_call(&mut table, 3, TargetEnded::Answered, report(2, 20));
+    end_call(&mut table, 3, EndpointResult::Answered, report(2, 20));
     let counts = calls_by_host(&mut table, &mut random, 5);
     assert_eq!(counts.get(&3), Some(&5));
 }
@@ -103,8 +103,8 @@
 #[test]
 fn a_slow_server_is_filled_before_a_fast_one_has_a_queue() {
     let (mut table, mut random) = table();
-    end_call(&mut table, 1, TargetEnded::Answered, report(10, 16));
-    end_call(&mut table, 2, TargetEnded::Answered, report(5, 38));
+    end_call(&mut table, 1, EndpointResult::Answered, report(10, 16));
+    end_call(&mut table, 2, EndpointResult::Answered, report(5, 38));
     let counts = calls_by_host(&mut table, &mut random, 2);
     assert_eq!(counts.get(&1), None);
 }
@@ -113,8 +113,8 @@
 #[test]
 fn among_crowded_servers_the_less_loaded_is_chosen() {
     let (mut table, mut random) = table();
-    end_call(&mut table, 1, TargetEnded::Answered, report(20, 16));
-    end_call(&mut table, 2, TargetEnded::Answered, report(11, 38));
+    end_call(&mut table, 1, EndpointResult::Answered, report(20, 16));
+    end_call(&mut table, 2, EndpointResult::Answered, report(11, 38));
     let counts = calls_by_host(&mut table, &mut random, 2);
     assert_eq!(counts.get(&1), None);
 }
@@ -123,8 +123,8 @@
 #[test]
 fn a_fast_server_with_room_is_preferred() {
     let (mut table, mut random) = table();
-    end_call(&mut table, 1, TargetEnded::Answered, report(6, 16));
-    end_call(&mut table, 2, TargetEnded::Answered, report(1, 38));
+    end_call(&mut table, 1, EndpointResult::Answered, report(6, 16));
+    end_call(&mut table, 2, EndpointResult::Answered, report(1, 38));
     let counts = calls_by_host(&mut table, &mut random, 1);
     assert_eq!(counts.get(&1), Some(&1));
 }
@@ -133,9 +133,9 @@
 fn a_host_that_fails_is_chosen_last() {
     let (mut table, mut random) = table();
     for _ in 0..20 {
-        end_call(&mut table, 1, TargetEnded::Failed, report(1, 20));
+        end_call(&mut table, 1, EndpointResult::Failed, report(1, 20));
     }
-    end_call(&mut table, 2, TargetEnded::Answered, report(5, 20));
+    end_call(&mut table, 2, EndpointResult::Answered, report(5, 20));
     let counts = calls_by_host(&mut table, &mut random, 3);
     assert_eq!(counts.get(&1), None);
 }
@@ -146,7 +146,7 @@
 #[test]
 fn a_host_is_not_chosen_for_some_time_after_its_link_was_lost() {
     let (mut table, mut random) = table();
-    table.ended(at_ms(0), address(1), TargetEnded::Lost, None);
+    table.ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let excluded = [address(2), address(3)];
     assert_eq!(
         table.choose(at_ms(100), "archive", &excluded, false, &mut random),
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_draining_host_gets_no_calls() {
-    let mut table = TargetTable::default();
+    let mut table = LoadBalancer::default();
     let members = [member(1, "near", MemberState::Draining)];
     table.rebuild("near", members.iter());
     let mut random = StdRng::seed_from_u64(1);
@@ -173,7 +173,7 @@
 #[test]
 fn a_new_life_starts_without_what_was_learnt_about_the_previous_one() {
     let (mut table, mut random) = table();
-    table.ended(at_ms(0), address(1), TargetEnded::Lost, None);
+    table.ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let mut replaced = member(1, "near", MemberState::Serving);
     replaced.life = Some(BackendLife::untold("new"));
     table.rebuild("near", [replaced].iter());
@@ -194,7 +194,7 @@
         table.ended(
             at_ms(0),
             address(host),
-            TargetEnded::Answered,
+            EndpointResult::Answered,
             Some(report(4, 22)),
         );
     }
@@ -209,7 +209,12 @@
             .unwrap();
         calls_count += u32::from(choice.control == address(4));
         let report = (choice.control != address(4)).then(|| report(4, 22));
-        table.ended(at_ms(call), choice.control, TargetEnded::Answered, report);
+        table.ended(
+            at_ms(call),
+            choice.control,
+            EndpointResult::Answered,
+            report,
+        );
     }
     assert!(calls_count >= 10, "{calls_count} of 30");
 }
@@ -247,19 +252,19 @@
         table.ended(
             at_ms(0),
             address(3),
-            TargetEnded::Answered,
+            EndpointResult::Answered,
             Some(report(2, 100)),
         );
         table.ended(
             at_ms(0),
             address(1),
-            TargetEnded::Answered,
+            EndpointResult::Answered,
             Some(report(3, work_ms)),
         );
         let choice = table
             .choose(at_ms(1), "archive", &[], false, &mut random)
             .unwrap();
-        table.ended(at_ms(1), choice.control, TargetEnded::GivenUp, None);
+        table.ended(at_ms(1), choice.control, EndpointResult::Cancelled, None);
         choice.control
     };
     assert_eq!(choose_with(200), address(1));
@@ -268,22 +273,22 @@
 }
 
 /// A table with eight hosts, all in another data centre.
-fn eight() -> (TargetTable, StdRng) {
+fn eight() -> (LoadBalancer, StdRng) {
     let members = (1..=8).map(|host| member(host, "far", MemberState::Serving));
     let members: Vec<MemberRecord> = members.collect();
-    let mut table = TargetTable::default();
+    let mut table = LoadBalancer::default();
     table.rebuild("near", members.iter());
     (table, StdRng::seed_from_u64(7))
 }
 
 /// The gate of a host reports its run time and the share of runs that fail there.
-fn report_failures(table: &mut TargetTable, host: u8, work_ms: u32, failed_ratio: f64) {
+fn report_failures(table: &mut LoadBalancer, host: u8, work_ms: u32, failed_ratio: f64) {
     let failed_permille = (failed_ratio * 1_000.0) as u16;
     let report = GateReport {
         failed_permille,
         ..report(2, work_ms)
     };
-    end_call(table, host, TargetEnded::Answered, report);
+    end_call(table, host, EndpointResult::Answered, report);
 }
 
 /// One backend server of eight fails each run while it reports that it is healthy, and looks
@@ -303,7 +308,7 @@
         let choice = table.choose(at_ms(0), "archive", &[], true, &mut random);
         let control = choice.unwrap().control;
         calls_count += u32::from(control == address(1));
-        table.ended(at_ms(0), control, TargetEnded::GivenUp, None);
+        table.ended(at_ms(0), control, EndpointResult::Cancelled, None);
     }
     assert!((10..=100).contains(&calls_count), "{calls_count} of 20000");
     report_failures(&mut table, 1, 44, 0.05);
@@ -319,7 +324,7 @@
         let choice = table.choose(at_ms(0), "archive", &[], false, &mut random);
         let control = choice.unwrap().control;
         assert_ne!(control, address(1));
-        table.ended(at_ms(0), control, TargetEnded::GivenUp, None);
+        table.ended(at_ms(0), control, EndpointResult::Cancelled, None);
     }
 }
 
@@ -373,10 +378,10 @@
 fn a_server_with_a_low_rate_limit_gets_few_calls() {
     let (mut table, mut random) = table();
     for host in [1, 2, 3] {
-        end_call(&mut table, host, TargetEnded::Answered, report(2, 100));
+        end_call(&mut table, host, EndpointResult::Answered, report(2, 100));
     }
     let report = limited_report(2.0, 400);
-    end_call(&mut table, 1, TargetEnded::Answered, report);
+    end_call(&mut table, 1, EndpointResult::Answered, report);
     let counts = calls_by_host(&mut table, &mut random, 100);
     assert!(counts.get(&1).is_none_or(|count| *count <= 5), "{counts:?}");
 }
@@ -388,7 +393,7 @@
     let (mut table, mut random) = table();
     for host in [1, 2, 3] {
         let report = limited_report(2.0, 400);
-        end_call(&mut table, host, TargetEnded::Limited, report);
+        end_call(&mut table, host, EndpointResult::RateLimited, report);
     }
     let mut choose = |ms| table.choose(at_ms(ms), "archive", &[], false, &mut random);
     assert_eq!(choose(399), None);
@@ -403,7 +408,7 @@
 #[test]
 fn calls_to_a_restarted_node_carry_the_known_rate_limit() {
     let (mut table, mut random) = table();
-    let choose_first_host = |table: &mut TargetTable, random: &mut StdRng, ms| {
+    let choose_first_host = |table: &mut LoadBalancer, random: &mut StdRng, ms| {
         let excluded = [address(2), address(3)];
         table.choose(at_ms(ms), "archive", &excluded, false, random)
     };
@@ -420,7 +425,7 @@
     table.on_limit(at_ms(0), &life, limited_report(1.6, 0).rate);
     let all = [1, 2, 3].map(|host| member(host, "near", MemberState::Serving));
     table.rebuild("near", all.iter());
-    end_call(&mut table, 1, TargetEnded::Full, report(0, 100));
+    end_call(&mut table, 1, EndpointResult::GateFull, report(0, 100));
     let known = choose_first_host(&mut table, &mut random, 2_500)
         .unwrap()
         .known_limit;
--- a/crates/kumquatquay-core/tests/routed/workspaces.rs
+++ b/crates/kumquatquay-core/tests/routed/workspaces.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{KeyClaim, KeyVerdict, Workspaces, whole_rank};
+use kumquatquay_core::routed::{CallerIdentity, PresentedKey, Workspaces, whole_rank};
 use kumquatquay_wire::routed::{KeyDigest, Priority, Repeat, RouteSettings, WorkspaceSettings};
 
 fn route(is_public: bool, priority: Priority) -> RouteSettings {
@@ -28,20 +28,20 @@
     }
 }
 
-fn shown(key: &str) -> KeyClaim {
-    KeyClaim::Shown(KeyDigest::of(key.as_bytes()))
+fn shown(key: &str) -> PresentedKey {
+    PresentedKey::Present(KeyDigest::of(key.as_bytes()))
 }
 
-fn identify(is_public: bool, key: KeyClaim) -> String {
+fn identify(is_public: bool, key: PresentedKey) -> String {
     let workspaces = vec![
         workspace("north", "k1", None),
         workspace("south", "k2", None),
     ];
     match Workspaces::new(Some(workspaces)).identify(&route(is_public, 1), key) {
-        KeyVerdict::NotAsked => String::from("not asked"),
-        KeyVerdict::Workspace(workspace) => workspace.name.clone(),
-        KeyVerdict::Missing => String::from("missing"),
-        KeyVerdict::Unknown => String::from("unknown"),
+        CallerIdentity::Anonymous => String::from("not asked"),
+        CallerIdentity::Workspace(workspace) => workspace.name.clone(),
+        CallerIdentity::MissingKey => String::from("missing"),
+        CallerIdentity::UnknownKey => String::from("unknown"),
     }
 }
 
@@ -59,9 +59,9 @@
 identifies! {
     a_key_names_its_workspace: false, shown("k2") => "south";
     a_key_of_nobody_is_unknown: false, shown("k3") => "unknown";
-    a_route_asks_for_a_key: false, KeyClaim::Missing => "missing";
-    a_key_that_cannot_be_read_is_none: false, KeyClaim::Malformed => "missing";
-    a_public_route_asks_for_none: true, KeyClaim::Missing => "not asked";
+    a_route_asks_for_a_key: false, PresentedKey::Missing => "missing";
+    a_key_that_cannot_be_read_is_none: false, PresentedKey::Malformed => "missing";
+    a_public_route_asks_for_none: true, PresentedKey::Missing => "not asked";
     a_public_route_passes_over_an_unknown_key: true, shown("k3") => "not asked";
     a_key_counts_on_a_public_route_too: true, shown("k1") => "north";
 }
@@ -70,14 +70,14 @@
 #[test]
 fn an_empty_list_of_workspaces_opens_nothing() {
     let workspaces = Workspaces::new(Some(Vec::new()));
-    let verdict = workspaces.identify(&route(false, 1), KeyClaim::Missing);
-    assert_eq!(verdict, KeyVerdict::Missing);
+    let verdict = workspaces.identify(&route(false, 1), PresentedKey::Missing);
+    assert_eq!(verdict, CallerIdentity::MissingKey);
 }
 
 #[test]
 fn without_workspaces_nobody_is_asked() {
     let verdict = Workspaces::new(None).identify(&route(false, 1), shown("k1"));
-    assert_eq!(verdict, KeyVerdict::NotAsked);
+    assert_eq!(verdict, CallerIdentity::Anonymous);
 }
 
 /// A digest in a state dump, a log line or a panic would tell which key was used.
--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -4,7 +4,7 @@
 
 use http::{Response, StatusCode};
 use kumquatquay_core::routed::{
-    EntryLine, EntryRequest, Mechanism, RetryAfter, ShareGroup, Shortage,
+    EntryRequest, FlowKey, Mechanism, RetryAfter, ShareGroup, Shortage,
 };
 use rand::Rng;
 
@@ -52,7 +52,7 @@
 
 impl Short {
     /// Takes in that one of a line asks for room at the service that is short.
-    fn of(node: &RoutedNode, line: &EntryLine, shortage: Shortage) -> Self {
+    fn of(node: &RoutedNode, line: &FlowKey, shortage: Shortage) -> Self {
         let own_chance = if node.is_on(Mechanism::FairShares) {
             ask_for_share(node, line, &shortage)
         } else {
@@ -66,7 +66,7 @@
 }
 
 /// The chance of a claimant, by the work that it asks of the service that is short.
-fn ask_for_share(node: &RoutedNode, line: &EntryLine, shortage: &Shortage) -> f64 {
+fn ask_for_share(node: &RoutedNode, line: &FlowKey, shortage: &Shortage) -> f64 {
     let now = node.now();
     let works = node
         .levels
@@ -118,7 +118,7 @@
 async fn hold_or_refuse(
     node: &RoutedNode,
     entering: &Entering<'_>,
-    line: &EntryLine,
+    line: &FlowKey,
     short: &Short,
 ) -> Admission {
     match hold(node, entering, line, short).await {
@@ -187,7 +187,7 @@
 }
 
 /// Offers a request of a line anew and tells the chance that it has.
-pub(super) fn offer_anew(node: &RoutedNode, line: &EntryLine) -> f64 {
+pub(super) fn offer_anew(node: &RoutedNode, line: &FlowKey) -> f64 {
     let request = EntryRequest {
         route: &line.route,
         service: &line.service,
@@ -210,7 +210,7 @@
         return;
     };
     let whole_priority = node.tracer.borrow_mut().called(route, expires);
-    if let Some(priority) = whole_priority.filter(|_| node.is_on(Mechanism::WholeOrder)) {
+    if let Some(priority) = whole_priority.filter(|_| node.is_on(Mechanism::RequestPriority)) {
         call.whole_priority.set(priority);
     }
 }
@@ -226,7 +226,7 @@
         shortage,
         own_chance,
     } = short;
-    let short_for = if node.is_on(Mechanism::LateReturn) {
+    let short_for = if node.is_on(Mechanism::GrowingRetryAfter) {
         shortage.lasts
     } else {
         Duration::ZERO
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use http::{HeaderMap, StatusCode, Uri, header, request::Parts};
-use kumquatquay_core::routed::{KeyClaim, KeyVerdict, RouteEntry, RouteTable};
+use kumquatquay_core::routed::{CallerIdentity, PresentedKey, RouteEntry, RouteTable};
 use kumquatquay_wire::routed::WorkspaceSettings;
 use tokio::time::error::Elapsed;
 
@@ -85,7 +85,7 @@
 pub(crate) async fn identify(
     node: &RoutedNode,
     parts: &Parts,
-    key: KeyClaim,
+    key: PresentedKey,
 ) -> Result<Identified, IdentityRefusal> {
     let read_at = node.unsuspended();
     let found = look_up(node, parts, key);
@@ -113,16 +113,20 @@
 
 /// Whether the key was found to be one of nobody before. Asked again each time, the store would
 /// be flooded by callers who go on with a key that was taken away.
-fn is_refused_again(node: &RoutedNode, key: KeyClaim) -> bool {
+fn is_refused_again(node: &RoutedNode, key: PresentedKey) -> bool {
     let unknown_keys = node.unknown_keys.borrow();
-    let KeyClaim::Shown(key) = key else {
+    let PresentedKey::Present(key) = key else {
         return false;
     };
     node.is_current() && unknown_keys.has(node.now(), key)
 }
 
-fn remember_unknown(node: &RoutedNode, key: KeyClaim, found: &Result<Identified, IdentityRefusal>) {
-    if let (KeyClaim::Shown(key), Err(IdentityRefusal::UnknownKey)) = (key, found) {
+fn remember_unknown(
+    node: &RoutedNode,
+    key: PresentedKey,
+    found: &Result<Identified, IdentityRefusal>,
+) {
+    if let (PresentedKey::Present(key), Err(IdentityRefusal::UnknownKey)) = (key, found) {
         node.unknown_keys.borrow_mut().add(node.now(), key);
     }
 }
@@ -131,16 +135,16 @@
 pub(crate) fn look_up(
     node: &RoutedNode,
     parts: &Parts,
-    key: KeyClaim,
+    key: PresentedKey,
 ) -> Result<Identified, IdentityRefusal> {
     let table = node.routes().ok_or(IdentityRefusal::NoConfiguration)?;
     let route = find_route(&table, &parts.headers, &parts.uri).ok_or(IdentityRefusal::NoRoute)?;
     let route = Arc::clone(route);
     let workspace = match table.workspaces().identify(&route.settings, key) {
-        KeyVerdict::NotAsked => None,
-        KeyVerdict::Workspace(workspace) => Some(workspace),
-        KeyVerdict::Missing => return Err(IdentityRefusal::NoKey),
-        KeyVerdict::Unknown => return Err(IdentityRefusal::UnknownKey),
+        CallerIdentity::Anonymous => None,
+        CallerIdentity::Workspace(workspace) => Some(workspace),
+        CallerIdentity::MissingKey => return Err(IdentityRefusal::NoKey),
+        CallerIdentity::UnknownKey => return Err(IdentityRefusal::UnknownKey),
     };
     Ok(Identified {
         table,
--- a/crates/kumquatquayd/src/routed/first_look.rs
+++ b/crates/kumquatquayd/src/routed/first_look.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Request, StatusCode, header};
 use http_body_util::Full;
-use kumquatquay_core::routed::{AdvertisedLimit, LifeReport, LifeState, Mechanism};
+use kumquatquay_core::routed::{AdvertisedRateLimit, LifeReport, LifeState, Mechanism};
 use kumquatquay_wire::BackendLife;
 
 use super::{node::RoutedNode, reports::backend_changed, server_notices::on_first_limit};
@@ -28,7 +28,7 @@
 /// killed at once. Until the next report comes nobody can call that backend server: a
 /// service with three of them loses a third of its room for that time, each time.
 pub(crate) async fn look_for_backend(node: Rc<RoutedNode>) {
-    if !node.is_on(Mechanism::FirstLook) {
+    if !node.is_on(Mechanism::InitialHealthCheck) {
         return;
     }
     for pause in PAUSES {
@@ -47,7 +47,7 @@
 /// What a health check tells of the backend server.
 struct Found {
     report: LifeReport,
-    limit: AdvertisedLimit,
+    limit: AdvertisedRateLimit,
 }
 
 fn take(node: &RoutedNode, found: Found) {
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -2,7 +2,7 @@
 
 use std::{borrow::Cow, cell::Cell, net::SocketAddr, pin::pin, rc::Rc, sync::Arc, time::Duration};
 
-use kumquatquay_core::routed::{Choice, Mechanism, RouteEntry, TargetEnded};
+use kumquatquay_core::routed::{EndpointResult, Mechanism, PickedEndpoint, RouteEntry};
 use kumquatquay_wire::{
     BackendLife, ServiceName,
     routed::{
@@ -193,7 +193,7 @@
         &mut self,
         node: &Rc<RoutedNode>,
         call: &OutgoingCall,
-        choice: &Choice,
+        choice: &PickedEndpoint,
     ) -> LinkAnswer {
         let open = OpenAttempt::new(node, choice);
         let accepts_failing = self.accepts_failing;
@@ -216,9 +216,9 @@
     }
 
     /// Where a call whose attempt hangs is sent besides, if it may be sent once more.
-    fn choose_beside(&mut self, node: &RoutedNode, call: &OutgoingCall) -> Option<Choice> {
+    fn choose_beside(&mut self, node: &RoutedNode, call: &OutgoingCall) -> Option<PickedEndpoint> {
         let is_idempotent = call.route.settings.repeat == Repeat::Idempotent;
-        if !is_idempotent || !node.is_on(Mechanism::Beside) {
+        if !is_idempotent || !node.is_on(Mechanism::HedgedAttempts) {
             return None;
         }
         if self.progress.sends_count + 1 >= call.route.settings.attempts_count {
@@ -227,7 +227,7 @@
         let other = choose(node, call, &self.asked)?;
         if !node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
             let mut targets = node.targets.borrow_mut();
-            targets.ended(node.now(), other.control, TargetEnded::GivenUp, None);
+            targets.ended(node.now(), other.control, EndpointResult::Cancelled, None);
             return None;
         }
         node.metrics.count("repeat", "beside");
@@ -286,14 +286,14 @@
 }
 
 /// Waits until the link to a choice has gone silent.
-async fn silence_on_the_way(node: &Rc<RoutedNode>, call: &OutgoingCall, choice: &Choice) {
+async fn silence_on_the_way(node: &Rc<RoutedNode>, call: &OutgoingCall, choice: &PickedEndpoint) {
     if choice.peer == node.links_address() {
         return std::future::pending().await;
     }
     silence_of(node, choice.peer, call.payload.body.len()).await;
 }
 
-fn choose(node: &RoutedNode, call: &OutgoingCall, asked: &[SocketAddr]) -> Option<Choice> {
+fn choose(node: &RoutedNode, call: &OutgoingCall, asked: &[SocketAddr]) -> Option<PickedEndpoint> {
     let mut random = node.random.borrow_mut();
     let mut targets = node.targets.borrow_mut();
     let may_repeat = call.route.settings.repeat == Repeat::Idempotent;
@@ -310,7 +310,7 @@
 }
 
 impl<'a> OpenAttempt<'a> {
-    fn new(node: &'a RoutedNode, choice: &Choice) -> Self {
+    fn new(node: &'a RoutedNode, choice: &PickedEndpoint) -> Self {
         Self {
             node,
             control: choice.control,
@@ -326,9 +326,9 @@
             return;
         }
         let ended = if self.hangs.get() {
-            TargetEnded::Failed
+            EndpointResult::Failed
         } else {
-            TargetEnded::GivenUp
+            EndpointResult::Cancelled
         };
         let now = self.node.now();
         let mut targets = self.node.targets.borrow_mut();
@@ -339,7 +339,7 @@
 async fn attempt(
     node: &Rc<RoutedNode>,
     call: &OutgoingCall,
-    choice: &Choice,
+    choice: &PickedEndpoint,
     accepts_failing: bool,
     open: &OpenAttempt<'_>,
 ) -> LinkAnswer {
@@ -356,7 +356,7 @@
 }
 
 /// Takes in what a backend server has told this host of a rate limit and of its leaving.
-fn on_notices(node: &RoutedNode, choice: &Choice, life: &BackendLife, answer: &LinkAnswer) {
+fn on_notices(node: &RoutedNode, choice: &PickedEndpoint, life: &BackendLife, answer: &LinkAnswer) {
     if let (LinkOutcome::Answered { .. }, Some(report)) = (&answer.outcome, answer.report) {
         let mut targets = node.targets.borrow_mut();
         targets.on_limit(node.now(), life, report.rate);
@@ -373,7 +373,7 @@
 async fn send(
     node: &Rc<RoutedNode>,
     call: &OutgoingCall,
-    choice: &Choice,
+    choice: &PickedEndpoint,
     accepts_failing: bool,
 ) -> LinkAnswer {
     let mut head = head_of(node, call, choice);
@@ -420,24 +420,28 @@
     }
 }
 
-fn ended_of(outcome: &LinkOutcome) -> TargetEnded {
+fn ended_of(outcome: &LinkOutcome) -> EndpointResult {
     match outcome {
         // Its gate tells how many runs it fails, those that lost a call left out.
-        LinkOutcome::Answered { .. } => TargetEnded::Answered,
-        LinkOutcome::NotRun(NotRunReason::Full | NotRunReason::Failing) => TargetEnded::Full,
-        LinkOutcome::NotRun(NotRunReason::Limited) => TargetEnded::Limited,
-        LinkOutcome::NotRun(NotRunReason::Late) => TargetEnded::GivenUp,
+        LinkOutcome::Answered { .. } => EndpointResult::Answered,
+        LinkOutcome::NotRun(NotRunReason::Full | NotRunReason::Failing) => EndpointResult::GateFull,
+        LinkOutcome::NotRun(NotRunReason::Limited) => EndpointResult::RateLimited,
+        LinkOutcome::NotRun(NotRunReason::Late) => EndpointResult::Cancelled,
         LinkOutcome::NotRun(NotRunReason::TurnedAway | NotRunReason::Quarantined) => {
-            TargetEnded::Failed
+            EndpointResult::Failed
         }
-        LinkOutcome::NotRun(NotRunReason::Closed) => TargetEnded::Closed,
+        LinkOutcome::NotRun(NotRunReason::Closed) => EndpointResult::Unavailable,
         LinkOutcome::NotRun(NotRunReason::Unsent)
-        | LinkOutcome::Unknown(UnknownReason::LinkLost) => TargetEnded::Lost,
-        LinkOutcome::Unknown(_) => TargetEnded::Failed,
+        | LinkOutcome::Unknown(UnknownReason::LinkLost) => EndpointResult::Unreachable,
+        LinkOutcome::Unknown(_) => EndpointResult::Failed,
     }
 }
 
-fn head_of<'a>(node: &'a RoutedNode, call: &'a OutgoingCall, choice: &'a Choice) -> CallHead<'a> {
+fn head_of<'a>(
+    node: &'a RoutedNode,
+    call: &'a OutgoingCall,
+    choice: &'a PickedEndpoint,
+) -> CallHead<'a> {
     let settings = &call.route.settings;
     let time_left = call.deadline.saturating_sub(node.now() + ANSWER_TIME);
     let levels = node.levels.borrow();
--- a/crates/kumquatquayd/src/routed/holding.rs
+++ b/crates/kumquatquayd/src/routed/holding.rs
@@ -3,7 +3,8 @@
 use std::{rc::Rc, time::Duration};
 
 use kumquatquay_core::routed::{
-    EntryLine, EntryQueue, HoldKey, HoldOffer, HoldOutcome, HoldRequest, Released, Shortage,
+    EntryQueue, FlowKey, HoldDecision, HoldKey, HoldRequest, ReleaseReason, ReleasedRequest,
+    Shortage,
 };
 
 use tokio::sync::oneshot;
@@ -74,10 +75,10 @@
 }
 
 /// The line in which a request waits.
-pub(super) fn line_of(call: &OutgoingCall) -> EntryLine {
+pub(super) fn line_of(call: &OutgoingCall) -> FlowKey {
     let route = &call.route.settings.name;
     let workspace = call.workspace.as_ref();
-    EntryLine {
+    FlowKey {
         route: route.clone(),
         service: call.service.clone(),
         priority: call.whole_priority.get(),
@@ -89,7 +90,7 @@
 pub(super) async fn hold(
     node: &RoutedNode,
     entering: &Entering<'_>,
-    line: &EntryLine,
+    line: &FlowKey,
     short: &Short,
 ) -> HoldEnd {
     let request = HoldRequest {
@@ -106,9 +107,9 @@
         held.offer(began, &request, ticket, &mut *random)
     };
     let key = match offer {
-        HoldOffer::Admitted => return HoldEnd::LetIn,
-        HoldOffer::Refused { room_in } => return HoldEnd::NoRoom { room_in },
-        HoldOffer::Held(key) => key,
+        HoldDecision::Admitted => return HoldEnd::LetIn,
+        HoldDecision::Refused { room_in } => return HoldEnd::NoRoom { room_in },
+        HoldDecision::Held(key) => key,
     };
     node.held_request_news.notify_one();
     let mut place = HeldPlace {
@@ -190,12 +191,12 @@
         .held_requests
         .borrow_mut()
         .release(node.now(), |line| offer_anew(node, line));
-    for Released { ticket, outcome } in released {
+    for ReleasedRequest { ticket, outcome } in released {
         let end = match outcome {
-            HoldOutcome::Room | HoldOutcome::Due => HoldEnd::LetIn,
-            HoldOutcome::NoRoom { room_in } => HoldEnd::NoRoom { room_in },
+            ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => HoldEnd::LetIn,
+            ReleaseReason::NoRoom { room_in } => HoldEnd::NoRoom { room_in },
         };
-        if outcome == HoldOutcome::Due {
+        if outcome == ReleaseReason::WaitExhausted {
             node.metrics.count("held", "due");
         }
         let _ = ticket.send(end);
--- a/crates/kumquatquayd/src/routed/interface.rs
+++ b/crates/kumquatquayd/src/routed/interface.rs
@@ -5,7 +5,7 @@
 use derive_more::{Display, Error};
 use http::HeaderMap;
 use kumquatquay_core::routed::{
-    AdvertisedLimit, BackendLoad, KeyClaim, LifeReport, RegisterPosition,
+    AdvertisedRateLimit, BackendLoad, LifeReport, PresentedKey, RegisterPosition,
 };
 use kumquatquay_wire::{
     BackendLife, InstanceId,
@@ -46,7 +46,7 @@
     /// How long the caller waits.
     pub time_left: Option<Duration>,
     /// The key that it shows.
-    pub key: KeyClaim,
+    pub key: PresentedKey,
 }
 
 /// What a backend server is told beside the request.
@@ -86,7 +86,7 @@
     pub pace_ratio: Option<f64>,
     /// Calls a second that the backend server takes of all callers together, while it names
     /// them.
-    pub limit: AdvertisedLimit,
+    pub limit: AdvertisedRateLimit,
     /// Whether the backend server leaves.
     pub is_leaving: bool,
 }
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -5,7 +5,7 @@
 use http::{Method, Request, Uri};
 use http_body_util::Full;
 use kumquatquay_core::routed::{
-    Admission, GateCall, Mechanism, RouteRun, RunId, TurnedAwayCall, WaitKey,
+    Admission, GateCall, GateQueueKey, Mechanism, RejectedCall, RouteRunTime, RunId,
 };
 use kumquatquay_wire::routed::{CallHead, LinkOutcome, NotRunReason, Payload, UnknownReason};
 use tokio::sync::oneshot;
@@ -141,7 +141,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let work = self.node.now().saturating_sub(self.began);
-        let run = self.counts_work.then_some(RouteRun {
+        let run = self.counts_work.then_some(RouteRunTime {
             route: &self.route,
             work,
         });
@@ -236,7 +236,7 @@
 /// A call in the queue; it leaves the queue with its task.
 struct WaitingCall<'a> {
     node: &'a Rc<RoutedNode>,
-    key: WaitKey,
+    key: GateQueueKey,
     granted: oneshot::Receiver<()>,
 }
 
@@ -276,7 +276,7 @@
     let drain = node.settings.bounds.drain.mul_f64(DRAIN_RATIO);
     let life = timed.call.life.as_deref();
     let is_once = !timed.call.is_idempotent && !timed.call.accepts_failing;
-    if is_once && node.is_on(Mechanism::OutOfLine) && node.failures.borrow().is_failing() {
+    if is_once && node.is_on(Mechanism::OutlierEjection) && node.failures.borrow().is_failing() {
         return Err(NotRunReason::Failing);
     }
     if is_served && lives.may_run(now, life, drain) {
@@ -403,12 +403,12 @@
     if check_open(node, timed).is_err() || now > timed.latest_start(node) {
         return false;
     }
-    if !node.is_on(Mechanism::GateRepeats) {
+    if !node.is_on(Mechanism::GateRetries) {
         return false;
     }
     let services_count = node.targets.borrow().services_count();
     let census = node.census.borrow();
-    let call = TurnedAwayCall {
+    let call = RejectedCall {
         is_from_outside: census.is_from_outside(now, timed.call.route, services_count),
         hand_overs_count,
     };
@@ -467,7 +467,7 @@
 ) -> HandedOver {
     let marks = (node.dialect.read_answer)(&answer.headers);
     if let Some(load) = marks.load
-        && node.is_on(Mechanism::Transit)
+        && node.is_on(Mechanism::TransitAllowance)
     {
         node.gate.borrow_mut().on_backend_load(load);
     }
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -10,10 +10,10 @@
 };
 
 use kumquatquay_core::routed::{
-    BackendLives, BackendPulse, CallEdge, CallGraph, CallTracer, EntryLevels, FairShares,
-    FreshnessProof, GateRepeats, HeldAnswers, HostGate, LevelSetter, MachinePace, Mechanism,
-    Mechanisms, PollerFleet, QueueOrder, RetryWindow, RouteCallers, RouteTable, RunFailures,
-    StorePoller, StoreReaders, TargetTable, UnknownKeys,
+    BackendLiveness, BackendLives, CallEdge, CallGraph, CallTracer, EntryAdmission, FairShares,
+    FreshnessProof, GateRetries, HeldAnswers, HostGate, LevelController, LoadBalancer,
+    MachineSlowdown, Mechanism, Mechanisms, PollerFleet, QueueOrder, RetryBudget, RouteCallers,
+    RouteTable, RunFailures, StorePoller, StoreReaders, UnknownKeys,
 };
 use kumquatquay_wire::routed::{
     BODY_LIMIT_BYTES, FollowState, GateReport, RouteConfiguration, RouteNews, RouteVersion,
@@ -88,10 +88,10 @@
     pub(crate) proof_news: Notify,
     /// When another node may next be asked for a configuration.
     next_ask: Cell<Duration>,
-    pub(crate) targets: RefCell<TargetTable>,
+    pub(crate) targets: RefCell<LoadBalancer>,
     pub(super) retry_budgets: RefCell<RetryBudgets>,
     /// Calls that the gate of this host hands over once more.
-    pub(crate) gate_repeats: RefCell<GateRepeats>,
+    pub(crate) gate_repeats: RefCell<GateRetries>,
     pub(crate) links: RefCell<Links>,
     /// What runs the calls of other nodes.
     pub(super) runners: Runners,
@@ -100,13 +100,13 @@
     pub(crate) limit_wait_news: Notify,
     pub(crate) lives: RefCell<BackendLives>,
     /// Whether the backend server of this host gives answers.
-    pub(crate) pulse: RefCell<BackendPulse>,
+    pub(crate) pulse: RefCell<BackendLiveness>,
     /// How fast its machine works at this moment.
-    pub(crate) pace: RefCell<MachinePace>,
+    pub(crate) pace: RefCell<MachineSlowdown>,
     /// Failures of the backend server of this host.
     pub(crate) failures: RefCell<RunFailures>,
     /// Sets the level of the gate of this host.
-    pub(crate) level: RefCell<LevelSetter>,
+    pub(crate) level: RefCell<LevelController>,
     /// From where routes to the backend server of this host are called.
     pub(crate) census: RefCell<RouteCallers>,
     /// Which calls the backend server of this host makes.
@@ -114,7 +114,7 @@
     /// The same, run by run.
     pub(crate) tracer: RefCell<CallTracer>,
     /// What is known of the pressure on services and of where routes lead.
-    pub(crate) levels: RefCell<EntryLevels>,
+    pub(crate) levels: RefCell<EntryAdmission>,
     /// Requests that are held at the entry.
     pub(super) held_requests: RefCell<HeldRequests>,
     /// Who asked for how much of the room that is short.
@@ -170,10 +170,10 @@
     let order = if mechanisms.is_on(Mechanism::LateLast) {
         QueueOrder::LateLast
     } else {
-        QueueOrder::EarliestDue
+        QueueOrder::EarliestDeadline
     };
     let gate = HostGate::default().order(order);
-    if mechanisms.is_on(Mechanism::WorkLoad) {
+    if mechanisms.is_on(Mechanism::WorkBasedLoad) {
         gate
     } else {
         gate.without_route_works()
@@ -186,7 +186,7 @@
         let budget = settings.retry_budget;
         // Its part of the extra repeats is left out: there are few gates to a service,
         // and how many isn't known for sure.
-        let at_gate = RetryWindow::new(budget.window, budget.ratio * GATE_RETRY_RATIO, 0.0);
+        let at_gate = RetryBudget::new(budget.window, budget.ratio * GATE_RETRY_RATIO, 0.0);
         let gate = gate_by(settings.mechanisms);
         let census = RouteCallers::at(settings.service.clone());
         let follower = StorePoller::new(Duration::ZERO, random.random());
@@ -206,7 +206,7 @@
             proof_news: Notify::new(),
             backend: BackendPool::new(settings.backend, answer_limit_bytes),
             phase: random.random(),
-            targets: RefCell::new(TargetTable::new(settings.mechanisms)),
+            targets: RefCell::new(LoadBalancer::new(settings.mechanisms)),
             settings,
             dialect,
             engine,
@@ -217,7 +217,7 @@
             configuration: RefCell::default(),
             next_ask: Cell::default(),
             retry_budgets: RefCell::default(),
-            gate_repeats: RefCell::new(GateRepeats::new(at_gate)),
+            gate_repeats: RefCell::new(GateRetries::new(at_gate)),
             links: RefCell::default(),
             runners: Runners::default(),
             gate: RefCell::new(gate),
--- a/crates/kumquatquayd/src/routed/retry_budgets.rs
+++ b/crates/kumquatquayd/src/routed/retry_budgets.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use kumquatquay_core::routed::RetryWindow;
+use kumquatquay_core::routed::RetryBudget;
 use kumquatquay_wire::ServiceName;
 
 use super::node::RoutedNode;
@@ -19,8 +19,8 @@
 /// Repeats of this node, by service.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudgets {
-    own: HashMap<ServiceName, RetryWindow>,
-    caused: HashMap<ServiceName, RetryWindow>,
+    own: HashMap<ServiceName, RetryBudget>,
+    caused: HashMap<ServiceName, RetryBudget>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -82,7 +82,7 @@
         &self,
         service: &str,
         kind: Repeats,
-        act: impl FnOnce(&mut RetryWindow) -> T,
+        act: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let budget = self.settings.retry_budget;
         let mut retry_budgets = self.retry_budgets.borrow_mut();
@@ -93,7 +93,7 @@
         let extra_count = budget.extra_count * part / self.nodes_count.get() as f64;
         if !windows.contains_key(service) {
             let ratio = budget.ratio * part;
-            let window = RetryWindow::new(budget.window, ratio, extra_count);
+            let window = RetryBudget::new(budget.window, ratio, extra_count);
             windows.insert(ServiceName::from(service), window);
         }
         let window = windows.get_mut(service).expect("it was put in just now");
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -2,7 +2,7 @@
 
 use std::{borrow::Cow, time::Duration};
 
-use kumquatquay_core::routed::{AdvertisedLimit, LimitChange};
+use kumquatquay_core::routed::{AdvertisedRateLimit, RateLimitChange};
 use kumquatquay_wire::{
     BackendLife,
     routed::{CallHead, KnownLimit},
@@ -53,9 +53,9 @@
     backend_changed(node);
 }
 
-fn on_limit(node: &RoutedNode, life: &BackendLife, began: Duration, limit: AdvertisedLimit) {
+fn on_limit(node: &RoutedNode, life: &BackendLife, began: Duration, limit: AdvertisedRateLimit) {
     let now = node.now();
-    if limit == AdvertisedLimit::Malformed {
+    if limit == AdvertisedRateLimit::Malformed {
         node.metrics.count("server_limit", "malformed");
         if node.metrics.take_log_permit(now) {
             log::warn!(event = "server_limit_malformed", life:% = life;
@@ -77,8 +77,8 @@
 
 /// Takes in the rate limit that a health check tells. One that it doesn't tell may be told by
 /// answers to calls all the same, so it counts as a caller's word.
-pub(crate) fn on_first_limit(node: &RoutedNode, life: &BackendLife, limit: AdvertisedLimit) {
-    if let AdvertisedLimit::PerSecond(per_s) = limit {
+pub(crate) fn on_first_limit(node: &RoutedNode, life: &BackendLife, limit: AdvertisedRateLimit) {
+    if let AdvertisedRateLimit::PerSecond(per_s) = limit {
         let known = KnownLimit::told_now(per_s);
         on_told(node, life, known, "health_check");
     }
@@ -94,7 +94,7 @@
 fn on_change(
     node: &RoutedNode,
     life: &BackendLife,
-    change: Option<LimitChange>,
+    change: Option<RateLimitChange>,
     from: &'static str,
 ) {
     let Some(change) = change else {
@@ -111,7 +111,7 @@
     per_s.map_or_else(|| String::from("none"), |per_s| per_s.to_string())
 }
 
-fn log_change(node: &RoutedNode, life: &BackendLife, change: LimitChange, from: &'static str) {
+fn log_change(node: &RoutedNode, life: &BackendLife, change: RateLimitChange, from: &'static str) {
     let what = match (change.from_per_s, change.to_per_s) {
         (None, _) => "began",
         (_, None) => "ended",
--- a/crates/kumquatquayd/src/routed/start.rs
+++ b/crates/kumquatquayd/src/routed/start.rs
@@ -176,7 +176,7 @@
         "the node was asked to stop");
     node.stop.send_replace(StopPhase::Leaving);
     let leaving = LEAVING_TIME.min(grace);
-    let serving = if node.is_on(Mechanism::LateLeaving) {
+    let serving = if node.is_on(Mechanism::DelayedShutdown) {
         leaving.mul_f64(LATE_LEAVING_RATIO)
     } else {
         Duration::ZERO
