--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -13,7 +13,7 @@
     entry::retry_after,
     forwarding::OutgoingCall,
     holding::{HoldEnd, hold, line_of},
-    http_io::{WholeBody, own_answer},
+    http_io::{BufferedBody, local_answer},
     node::{RoutedNode, StopPhase},
     request_log::log_line,
 };
@@ -38,7 +38,7 @@
     /// It is let in.
     LetIn,
     /// It is refused, and has not run.
-    Refused(Response<WholeBody>),
+    Refused(Response<BufferedBody>),
     /// Another configuration came into force while it was held.
     Reloaded,
 }
@@ -135,7 +135,7 @@
     if call.version != node.route_version() {
         return Admission::Reloaded;
     }
-    if call.workspace.is_some() && node.lacks_proof() {
+    if call.workspace.is_some() && node.lacks_valid_proof() {
         let refusal = IdentityRefusal::NoProof;
         node.metrics.count("refused", refusal.name());
         return Admission::Refused(refuse_for_now(node, call, refusal.text()));
@@ -220,7 +220,7 @@
     entering: &Entering<'_>,
     short: &Short,
     room_in: Option<Duration>,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let now = node.now();
     let Short {
         shortage,
@@ -254,14 +254,14 @@
         );
         log_line(node, entering.call, "refused", &why, None, entering.began);
     }
-    own_answer(
+    local_answer(
         StatusCode::SERVICE_UNAVAILABLE,
         Some(wait),
         "no room for the whole request\n",
     )
 }
 
-fn refuse_stopping(node: &RoutedNode, call: &OutgoingCall) -> Response<WholeBody> {
+fn refuse_stopping(node: &RoutedNode, call: &OutgoingCall) -> Response<BufferedBody> {
     node.metrics.count("refused", "stopping");
     refuse_for_now(node, call, "this node stops\n")
 }
@@ -271,7 +271,7 @@
     node: &RoutedNode,
     call: &OutgoingCall,
     text: &'static str,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let wait = retry_after(node, &call.route.settings);
-    own_answer(StatusCode::SERVICE_UNAVAILABLE, Some(wait), text)
+    local_answer(StatusCode::SERVICE_UNAVAILABLE, Some(wait), text)
 }
--- a/crates/kumquatquayd/src/routed/backend_pool.rs
+++ b/crates/kumquatquayd/src/routed/backend_pool.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::AbortHandle};
 
-use super::http_io::WholeBody;
+use super::http_io::BufferedBody;
 
 /// A host answers its own connection attempts at once.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -50,7 +50,7 @@
 /// One connection; it closes when it is dropped.
 #[derive(Debug)]
 struct Connection {
-    sender: SendRequest<WholeBody>,
+    sender: SendRequest<BufferedBody>,
     task: AbortHandle,
     idle_since: Instant,
     idle_until: Instant,
@@ -128,7 +128,7 @@
     /// server to give the request up.
     pub(crate) async fn send(
         &self,
-        request: Request<WholeBody>,
+        request: Request<BufferedBody>,
         is_idempotent: bool,
     ) -> Result<BackendAnswer, SendError> {
         let mut request = request;
@@ -190,8 +190,8 @@
     async fn send_on(
         &self,
         mut connection: Connection,
-        request: Request<WholeBody>,
-    ) -> Result<BackendAnswer, (SendError, Option<Request<WholeBody>>)> {
+        request: Request<BufferedBody>,
+    ) -> Result<BackendAnswer, (SendError, Option<Request<BufferedBody>>)> {
         let answer = connection.sender.try_send_request(request).await;
         let answer = answer.map_err(|mut error| (SendError::Broke, error.take_message()))?;
         let (head, body) = answer.into_parts();
--- a/crates/kumquatquayd/src/routed/spare_buffers.rs
+++ b/crates/kumquatquayd/src/routed/buffer_pool.rs
@@ -34,7 +34,7 @@
 }
 
 /// Keeps a buffer for the next one who asks.
-pub(super) fn give_back_buffer(mut buffer: Vec<u8>) {
+pub(super) fn return_buffer(mut buffer: Vec<u8>) {
     buffer.clear();
     SPARE.with_borrow_mut(|spare| {
         if buffer.capacity() <= KEPT_BYTES && spare.len() < KEPT_COUNT {
--- a/crates/kumquatquayd/src/routed/connection_row.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -20,7 +20,7 @@
 use super::{
     caller_identity::find_route,
     entry::CallerBody,
-    http_io::{Caller, WholeBody},
+    http_io::{BufferedBody, CallerAddress},
     node::{RoutedNode, StopPhase},
     request_frame::{Framing, RequestFrame, frame_request, has_head_end, read_whole_request},
     started_request::{HeldBytes, InFlight, StartedRequest},
@@ -42,7 +42,7 @@
 const KEPT_BYTES: usize = 4 * 1024;
 
 /// One caller's connection.
-pub(crate) struct ConnectionRow {
+pub(crate) struct CallerConnection {
     pub(crate) node: Rc<RoutedNode>,
     caller: Option<SocketAddr>,
     /// Bytes of a head that the HTTP library takes.
@@ -146,7 +146,7 @@
     Streamed,
 }
 
-impl ConnectionRow {
+impl CallerConnection {
     pub(crate) fn new(node: Rc<RoutedNode>, caller: Option<SocketAddr>) -> Rc<Self> {
         let phase = if node.is_on(Mechanism::Pipelining) {
             Phase::Between
@@ -408,7 +408,7 @@
     }
 
     /// The request that was reached has its answer. Whether the connection ends with it.
-    pub(crate) fn answered(&self, answer: &Response<WholeBody>) -> bool {
+    pub(crate) fn answered(&self, answer: &Response<BufferedBody>) -> bool {
         *self.writing.borrow_mut() = Some(HeldBytes::new(&self.node, answer));
         let mut state = self.state.borrow_mut();
         state.phase = match state.phase {
@@ -450,8 +450,8 @@
     }
 
     /// The caller of this connection, as requests carry it.
-    pub(crate) fn caller(&self) -> Option<Caller> {
-        self.caller.map(Caller)
+    pub(crate) fn caller(&self) -> Option<CallerAddress> {
+        self.caller.map(CallerAddress)
     }
 
     /// The answer of a request that was started, if the HTTP library reads the same one.
@@ -459,7 +459,7 @@
         &self,
         started: StartedRequest,
         request: Request<Bytes>,
-    ) -> Result<Response<WholeBody>, Request<CallerBody>> {
+    ) -> Result<Response<BufferedBody>, Request<CallerBody>> {
         match started.answer_to(request).await {
             Ok(held) => {
                 *self.in_flight.borrow_mut() = Some(held.in_flight);
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -87,7 +87,7 @@
     parts: &Parts,
     key: PresentedKey,
 ) -> Result<Identified, IdentityRefusal> {
-    let read_at = node.unsuspended();
+    let read_at = node.boot_time();
     let found = look_up(node, parts, key);
     let found = match found {
         Err(IdentityRefusal::UnknownKey) if !is_refused_again(node, key) => {
@@ -99,8 +99,8 @@
         found => found?,
     };
     if found.workspace.is_some() {
-        let patience = node.starting_patience(&found.route.settings);
-        wait_for(node, patience, || !node.lacks_proof())
+        let patience = node.startup_wait(&found.route.settings);
+        wait_for(node, patience, || !node.lacks_valid_proof())
             .await
             .map_err(|_| IdentityRefusal::NoProof)?;
     }
@@ -118,7 +118,7 @@
     let PresentedKey::Present(key) = key else {
         return false;
     };
-    node.is_current() && unknown_keys.has(node.now(), key)
+    node.is_configuration_current() && unknown_keys.has(node.now(), key)
 }
 
 fn remember_unknown(
@@ -171,7 +171,7 @@
         return Err(IdentityRefusal::UnsureKey);
     }
     let _waits = Counted::new(&node.key_waits_count);
-    node.want_proof();
+    node.request_proof();
     let proved = wait_for(node, KEY_PATIENCE, || node.proof_covers(moment)).await;
     proved.map_err(|_| IdentityRefusal::UnsureKey)
 }
@@ -184,7 +184,7 @@
 ) -> Result<(), Elapsed> {
     tokio::time::timeout(patience, async {
         loop {
-            let news = node.proof_news.notified();
+            let news = node.proof_updated.notified();
             if is_true() {
                 return;
             }
--- a/crates/kumquatquayd/src/routed/configuration_exchange.rs
+++ b/crates/kumquatquayd/src/routed/configuration_exchange.rs
@@ -11,18 +11,18 @@
 const NODES_LIMIT_COUNT: usize = 20_000;
 
 /// Asks for a configuration that the other node has and this one lacks.
-pub(crate) fn on_followed(node: &RoutedNode, frames: &FrameWriter, followed: FollowState) {
-    let told_nodes_count = node.told_nodes_count.get();
+pub(crate) fn on_follow_state(node: &RoutedNode, frames: &FrameWriter, followed: FollowState) {
+    let reported_nodes_count = node.reported_nodes_count.get();
     let nodes_count = followed.nodes_count as usize;
-    if (told_nodes_count..=NODES_LIMIT_COUNT).contains(&nodes_count) {
-        node.told_nodes_count.set(nodes_count);
+    if (reported_nodes_count..=NODES_LIMIT_COUNT).contains(&nodes_count) {
+        node.reported_nodes_count.set(nodes_count);
     }
     let mut follower = node.follower.borrow_mut();
     let era = followed.store_era;
     let news = follower.told(node.now(), era, followed.store_answers_count);
     drop(follower);
     node.on_era_news(news, era, "node");
-    if followed.version > node.route_version() && node.may_ask_configuration() {
+    if followed.version > node.route_version() && node.begin_configuration_ask() {
         frames.push(&FrameHead::ConfigurationAsk);
     }
 }
@@ -36,39 +36,39 @@
     followed: FollowState,
     asked: Duration,
 ) {
-    on_followed(node, frames, followed);
+    on_follow_state(node, frames, followed);
     let Some(age_ms) = followed.proof_age_ms else {
         return;
     };
     let age = Duration::from_millis(u64::from(age_ms));
-    let now = node.unsuspended();
+    let now = node.boot_time();
     let told = PeerProof {
         asked,
         version: followed.version,
         age: Some(age),
         era: followed.store_era,
     };
-    node.prove(|proof| proof.told(now, told));
+    node.update_proof(|proof| proof.told(now, told));
 }
 
 /// A question how far another node follows.
-pub(crate) fn ping(node: &RoutedNode) -> FrameHead<'static> {
+pub(crate) fn ping_frame(node: &RoutedNode) -> FrameHead<'static> {
     FrameHead::Ping {
         followed: node.follow_state(),
-        asked_ms: node.unsuspended().as_millis() as u64,
+        asked_ms: node.boot_time().as_millis() as u64,
     }
 }
 
 /// Takes in a configuration of another node.
 pub(crate) fn on_configuration(node: &RoutedNode, body: &[u8]) {
     match postcard::from_bytes(body) {
-        Ok(configuration) => node.apply(configuration, "node"),
+        Ok(configuration) => node.apply_configuration(configuration, "node"),
         Err(error) => log::warn!(event = "configuration_refused", from = "node"; "{error}"),
     }
 }
 
 /// Sends the configuration in force, if there is one.
-pub(crate) fn tell_configuration(node: &RoutedNode, frames: &FrameWriter) {
+pub(crate) fn send_configuration(node: &RoutedNode, frames: &FrameWriter) {
     let configuration = node.configuration.borrow();
     let Some(configuration) = configuration.as_ref() else {
         return;
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -15,11 +15,13 @@
     admission::{Admission, Entering, admit, refuse_for_now},
     caller_identity::{Identified, IdentityRefusal, identify, look_up},
     forwarding::{OutgoingCall, Progress, forward},
-    http_io::{Caller, WholeBody, fields_of, headers_of, own_answer},
-    interface::RequestMarks,
-    link_answer::{HandedOver, LinkAnswer},
+    http_io::{
+        BufferedBody, CallerAddress, fields_from_headers, headers_from_fields, local_answer,
+    },
+    interface::RequestMetadata,
+    link_answer::{LinkAnswer, MayHaveRun},
     node::{RoutedNode, StopPhase},
-    quotas::{QuotaRefusal, UnspentToken, give_back, take_token},
+    quotas::{QuotaRefusal, UnspentToken, return_token, take_token},
     request_log::{
         log_ended, log_over_quota, log_unidentified, log_unless_many, not_run_name, unknown_name,
     },
@@ -33,13 +35,13 @@
 const COPIED_BODY_BYTES: usize = 4 * 1024;
 
 /// The body of a caller's request: one that comes, or one that is there.
-pub(crate) type CallerBody = Either<Incoming, WholeBody>;
+pub(crate) type CallerBody = Either<Incoming, BufferedBody>;
 
 /// Serves one request of a caller.
 pub(crate) async fn serve_entry(
     node: Rc<RoutedNode>,
     request: Request<CallerBody>,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let node = &node;
     let began = node.now();
     let (mut parts, body) = request.into_parts();
@@ -53,23 +55,23 @@
     if is_too_late(node, &route) {
         node.metrics.count("refused", "stopping");
         let retry = Some(retry_after(node, &route.settings));
-        return own_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "this node stops\n");
+        return local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "this node stops\n");
     }
     if table.workspaces().ask_for_keys() {
         // Backend servers and other nodes must not come to know the key.
-        (node.dialect.remove_claims)(&mut parts.headers);
+        (node.dialect.remove_caller_identity)(&mut parts.headers);
     }
     let body = match read_body(body, table.limits().body_limit_bytes).await {
         Ok(body) => body,
         Err(status) => {
             node.metrics.count("refused", "body");
-            return own_answer(status, None, "the body is too long or broken\n");
+            return local_answer(status, None, "the body is too long or broken\n");
         }
     };
     let token = match &identified.workspace {
         None => None,
         Some(workspace) => {
-            let patience = node.starting_patience(&route.settings);
+            let patience = node.startup_wait(&route.settings);
             match take_token(node, workspace, patience).await {
                 Ok(token) => token,
                 Err(refusal) => {
@@ -103,21 +105,21 @@
         count_failed_call(node, &call);
     }
     let carried = match carried {
-        Err(_) if !call.handed_over.get() => Ok(LinkAnswer::not_run(NotRunReason::Late)),
+        Err(_) if !call.may_have_run.get() => Ok(LinkAnswer::not_run(NotRunReason::Late)),
         carried => carried,
     };
     match carried {
         Ok(answer) => {
             let has_not_run = matches!(answer.outcome, LinkOutcome::NotRun(_));
             if let Some(token) = token.filter(|_| has_not_run) {
-                give_back(node, token);
+                return_token(node, token);
             }
             answer_carried(node, &call, answer, began)
         }
         Err(_) => {
             node.metrics.count("failed", "deadline");
             log_unless_many(node, &call, "failed", "deadline", None, began);
-            own_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
+            local_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
     }
 }
@@ -138,24 +140,24 @@
 /// Answers a request of which it isn't known whose it is, or for which there is no route.
 fn refuse_unidentified(
     node: &RoutedNode,
-    marks: &RequestMarks,
+    marks: &RequestMetadata,
     refusal: IdentityRefusal,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     node.metrics.count("refused", refusal.name());
     log_unidentified(node, marks, refusal);
     let may_return = refusal.status() == StatusCode::SERVICE_UNAVAILABLE;
     let retry = may_return.then_some(NOT_CONFIGURED_RETRY);
-    own_answer(refusal.status(), retry, refusal.text())
+    local_answer(refusal.status(), retry, refusal.text())
 }
 
 /// Answers a request that is beyond the quota of its workspace.
 fn refuse_over_quota(
     node: &RoutedNode,
-    marks: &RequestMarks,
+    marks: &RequestMetadata,
     route: &RouteEntry,
     workspace: &WorkspaceSettings,
     refusal: QuotaRefusal,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let (status, why) = match refusal {
         QuotaRefusal::Over { .. } => (StatusCode::TOO_MANY_REQUESTS, "over_quota"),
         QuotaRefusal::NoKeeper => (StatusCode::SERVICE_UNAVAILABLE, "no_keeper"),
@@ -168,7 +170,7 @@
     };
     // Tokens that come sooner are taken by requests that come sooner.
     let retry = retry_after(node, &route.settings).max(wait.unwrap_or_default());
-    own_answer(
+    local_answer(
         status,
         Some(retry),
         "the quota of the workspace is used up\n",
@@ -193,7 +195,7 @@
 /// A request as it was read.
 struct ReadRequest {
     parts: Parts,
-    marks: RequestMarks,
+    marks: RequestMetadata,
     body: Bytes,
     began: Duration,
 }
@@ -201,7 +203,7 @@
 /// What became of a request that was read.
 enum Entered {
     LetIn(OutgoingCall),
-    Refused(Response<WholeBody>),
+    Refused(Response<BufferedBody>),
 }
 
 /// Lets a request in, or refuses it; if another configuration comes into force meanwhile, by that.
@@ -215,7 +217,7 @@
             node.metrics.count("refused", "no_destination");
             let retry = Some(NOT_CONFIGURED_RETRY);
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Entered::Refused(own_answer(status, retry, "no destination\n"));
+            return Entered::Refused(local_answer(status, retry, "no destination\n"));
         };
         let time_left = request.marks.time_left;
         let entering = Entering {
@@ -250,7 +252,10 @@
     let service = route.split.next().cloned()?;
     let parts = &request.parts;
     let marks = &request.marks;
-    let caller = parts.extensions.get::<Caller>().map(|caller| caller.0);
+    let caller = parts
+        .extensions
+        .get::<CallerAddress>()
+        .map(|caller| caller.0);
     Some(OutgoingCall {
         caller,
         service,
@@ -258,16 +263,16 @@
         whole_priority: Cell::new(whole_rank(&route.settings, workspace.as_deref())),
         workspace,
         deadline: deadline_of(&route, marks, request.began),
-        attempt: marks.attempt.clone().unwrap_or_default(),
+        attempt: marks.attempt_id.clone().unwrap_or_default(),
         method: String::from(parts.method.as_str()),
         target: target_of(parts),
         payload: Payload {
-            fields: fields_of(&parts.headers),
+            fields: fields_from_headers(&parts.headers),
             body: request.body.clone(),
         },
         route,
         progress: Cell::new(Progress::default()),
-        handed_over: HandedOver::default(),
+        may_have_run: MayHaveRun::default(),
     })
 }
 
@@ -277,7 +282,7 @@
 }
 
 /// The moment at which the caller has its answer or is told that there is none.
-fn deadline_of(route: &RouteEntry, marks: &RequestMarks, began: Duration) -> Duration {
+fn deadline_of(route: &RouteEntry, marks: &RequestMetadata, began: Duration) -> Duration {
     let timeout = route.settings.timeout;
     began + marks.time_left.map_or(timeout, |left| left.min(timeout))
 }
@@ -304,7 +309,7 @@
     call: &OutgoingCall,
     answer: LinkAnswer,
     began: Duration,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     match &answer.outcome {
         LinkOutcome::Answered { status } => {
             let latency = node.now().saturating_sub(began);
@@ -315,25 +320,25 @@
             let mut response = Response::new(Full::new(answer.payload.body));
             *response.status_mut() =
                 StatusCode::from_u16(*status).unwrap_or(StatusCode::BAD_GATEWAY);
-            *response.headers_mut() = headers_of(&answer.payload.fields, 0);
+            *response.headers_mut() = headers_from_fields(&answer.payload.fields, 0);
             response
         }
         LinkOutcome::NotRun(reason) => {
             node.metrics.count("refused", not_run_name(*reason));
             log_ended(node, call, &answer, "refused", began);
             let retry = Some(retry_after(node, &call.route.settings));
-            own_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "no room\n")
+            local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "no room\n")
         }
         LinkOutcome::Unknown(UnknownReason::NoAnswer) => {
             node.metrics
                 .count("failed", unknown_name(UnknownReason::NoAnswer));
             log_ended(node, call, &answer, "failed", began);
-            own_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
+            local_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
         LinkOutcome::Unknown(reason) => {
             node.metrics.count("failed", unknown_name(*reason));
             log_ended(node, call, &answer, "failed", began);
-            own_answer(StatusCode::BAD_GATEWAY, None, "no whole answer\n")
+            local_answer(StatusCode::BAD_GATEWAY, None, "no whole answer\n")
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/first_look.rs
+++ b/crates/kumquatquayd/src/routed/first_look.rs
@@ -77,7 +77,7 @@
     let answer = node.backend.send(request, true).await.ok()?;
     let marks = (node.dialect.read_answer)(&answer.headers);
     let is_well = answer.status == StatusCode::OK.as_u16() && !marks.is_leaving;
-    answer.keep(marks.kept_open);
+    answer.keep(marks.keep_alive_timeout);
     let instance = marks.instance.filter(|_| is_well)?;
     let report = LifeReport {
         life: BackendLife::untold(instance),
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -12,8 +12,8 @@
 };
 
 use super::{
-    link::{send_call, silence_of},
-    link_answer::{HandedOver, LinkAnswer},
+    link::{link_silence, send_call},
+    link_answer::{LinkAnswer, MayHaveRun},
     local_run::run_locally,
     node::RoutedNode,
 };
@@ -56,7 +56,7 @@
     /// How far it has come; also told of a call whose time ran out on the way.
     pub(crate) progress: Cell<Progress>,
     /// Whether a backend server may have it.
-    pub(crate) handed_over: HandedOver,
+    pub(crate) may_have_run: MayHaveRun,
 }
 
 impl OutgoingCall {
@@ -178,7 +178,7 @@
     /// The last attempt has not run, so the call has not, unless an earlier one may have.
     fn forget_hand_over(&self, call: &OutgoingCall) {
         if self.unknown.is_none() && self.failed.is_none() {
-            call.handed_over.clear();
+            call.may_have_run.clear();
         }
     }
 
@@ -210,8 +210,8 @@
         let other_open = OpenAttempt::new(node, &other);
         let mut second = pin!(attempt(node, call, &other, accepts_failing, &other_open));
         tokio::select! {
-            answer = first.as_mut() => answer.or_whole(second).await,
-            answer = second.as_mut() => answer.or_whole(first).await,
+            answer = first.as_mut() => answer.or_other_attempt(second).await,
+            answer = second.as_mut() => answer.or_other_attempt(first).await,
         }
     }
 
@@ -290,7 +290,7 @@
     if choice.peer == node.links_address() {
         return std::future::pending().await;
     }
-    silence_of(node, choice.peer, call.payload.body.len()).await;
+    link_silence(node, choice.peer, call.payload.body.len()).await;
 }
 
 fn choose(node: &RoutedNode, call: &OutgoingCall, asked: &[SocketAddr]) -> Option<PickedEndpoint> {
@@ -379,10 +379,10 @@
     let mut head = head_of(node, call, choice);
     head.accepts_failing = accepts_failing;
     if choice.peer != node.links_address() {
-        return send_call(node, choice.peer, head, &call.payload, &call.handed_over).await;
+        return send_call(node, choice.peer, head, &call.payload, &call.may_have_run).await;
     }
     let confirmed = async {
-        call.handed_over.set();
+        call.may_have_run.set();
         true
     };
     let never = std::future::pending();
--- a/crates/kumquatquayd/src/routed/holding.rs
+++ b/crates/kumquatquayd/src/routed/holding.rs
@@ -111,7 +111,7 @@
         HoldDecision::Refused { room_in } => return HoldEnd::NoRoom { room_in },
         HoldDecision::Held(key) => key,
     };
-    node.held_request_news.notify_one();
+    node.request_held.notify_one();
     let mut place = HeldPlace {
         node,
         key,
@@ -164,7 +164,7 @@
     let mut version = node.route_version();
     loop {
         if node.held_requests.borrow().held_count() == 0 {
-            node.held_request_news.notified().await;
+            node.request_held.notified().await;
         }
         tokio::time::sleep(RELEASE_INTERVAL).await;
         let in_force = node.route_version();
--- a/crates/kumquatquayd/src/routed/http_io.rs
+++ b/crates/kumquatquayd/src/routed/http_io.rs
@@ -15,7 +15,7 @@
 use crate::http::{connection_options, is_for_connection};
 
 /// A body that is held as a whole.
-pub(crate) type WholeBody = Full<Bytes>;
+pub(crate) type BufferedBody = Full<Bytes>;
 
 /// Fields that each hop writes anew for its own message.
 const REWRITTEN_FIELDS: [HeaderName; 2] = [header::CONTENT_LENGTH, header::EXPECT];
@@ -31,16 +31,16 @@
 
 /// Where the connection of a request comes from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Caller(pub(crate) SocketAddr);
+pub(crate) struct CallerAddress(pub(crate) SocketAddr);
 
 /// Binds a listener.
-pub(crate) async fn listen(what: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
+pub(crate) async fn bind_listener(what: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
     let listener = TcpListener::bind(address).await;
     listener.wrap_err_with(|| format!("can't listen on {address} for {what}"))
 }
 
 /// Accepts connections for as long as the node runs.
-pub(crate) async fn accept_all(
+pub(crate) async fn accept_connections(
     node: Rc<RoutedNode>,
     listener: TcpListener,
     take: impl Fn(Rc<RoutedNode>, TcpStream),
@@ -66,14 +66,14 @@
     stream: TcpStream,
     serve: impl Fn(Rc<RoutedNode>, Request<Incoming>) -> F,
 ) where
-    F: Future<Output = Response<WholeBody>>,
+    F: Future<Output = Response<BufferedBody>>,
 {
     let service = service_fn(|request: Request<Incoming>| {
         let answer = serve(Rc::clone(&node), request);
         async { Ok::<_, std::convert::Infallible>(answer.await) }
     });
     let connection =
-        server(node.head_limit_bytes()).serve_connection(TokioIo::new(stream), service);
+        http1_server(node.head_limit_bytes()).serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     if node.stop_phase() >= StopPhase::Closing {
         // Its request is answered with a refusal. Closed unread, it would tell the
@@ -92,7 +92,7 @@
 }
 
 /// The HTTP library's side of a connection on which others send requests.
-pub(crate) fn server(head_limit_bytes: usize) -> http1::Builder {
+pub(crate) fn http1_server(head_limit_bytes: usize) -> http1::Builder {
     let mut server = http1::Builder::new();
     server
         .timer(TokioTimer::new())
@@ -103,7 +103,7 @@
 }
 
 /// The fields of a message that concern more than its connection.
-pub(crate) fn fields_of(headers: &HeaderMap) -> Fields {
+pub(crate) fn fields_from_headers(headers: &HeaderMap) -> Fields {
     let options = connection_options(headers);
     let is_kept =
         |name: &HeaderName| !is_for_connection(name, &options) && !REWRITTEN_FIELDS.contains(name);
@@ -115,7 +115,7 @@
 
 /// Fields as the HTTP library holds them, with room for some more; ones that it can't hold are
 /// left out.
-pub(crate) fn headers_of(fields: &Fields, more_count: usize) -> HeaderMap {
+pub(crate) fn headers_from_fields(fields: &Fields, more_count: usize) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(fields.count() + more_count);
     for field in fields.iter() {
         let name = HeaderName::from_bytes(field.name);
@@ -128,11 +128,11 @@
 }
 
 /// An answer of the node itself.
-pub(crate) fn own_answer(
+pub(crate) fn local_answer(
     status: StatusCode,
     retry_after: Option<Duration>,
     reason: &'static str,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let mut answer = Response::new(Full::new(Bytes::from_static(reason.as_bytes())));
     *answer.status_mut() = status;
     if let Some(retry_after) = retry_after {
--- a/crates/kumquatquayd/src/routed/interface.rs
+++ b/crates/kumquatquayd/src/routed/interface.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy)]
 pub struct Dialect {
     /// Reads what a request says of itself.
-    pub read_request: fn(&HeaderMap) -> RequestMarks,
+    pub read_request: fn(&HeaderMap) -> RequestMetadata,
     /// Takes out what a caller shows or says of the workspace that it belongs to.
-    pub remove_claims: fn(&mut HeaderMap),
+    pub remove_caller_identity: fn(&mut HeaderMap),
     /// Writes what a backend server is told beside the request as the caller sent it.
-    pub write_hand_over: fn(&mut HeaderMap, &HandOver<'_>),
+    pub write_forwarded_metadata: fn(&mut HeaderMap, &ForwardedMetadata<'_>),
     /// Reads what an answer says of itself.
-    pub read_answer: fn(&HeaderMap) -> AnswerMarks,
+    pub read_answer: fn(&HeaderMap) -> AnswerMetadata,
     /// Reads a report of the backend server on this host.
     pub read_report: fn(&http::request::Parts, &[u8]) -> Result<BackendReport, String>,
     /// Whether a request asks if the node is ready.
@@ -40,9 +40,9 @@
 
 /// What a request says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RequestMarks {
+pub struct RequestMetadata {
     /// Its id; opaque. Each time that a caller sends a request it gives a new one.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// How long the caller waits.
     pub time_left: Option<Duration>,
     /// The key that it shows.
@@ -51,7 +51,7 @@
 
 /// What a backend server is told beside the request.
 #[derive(Clone, Copy, Debug)]
-pub struct HandOver<'a> {
+pub struct ForwardedMetadata<'a> {
     /// Time in which the answer is still wanted.
     pub time_left: Duration,
     /// The life of the backend server that is meant; any other declines.
@@ -64,9 +64,9 @@
 
 /// What an answer says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerMarks {
+pub struct AnswerMetadata {
     /// Id of the request that it answers.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// Whether a backend server vouches for it; only such answers are passed on as
     /// a success.
     pub is_signed: bool,
@@ -76,7 +76,7 @@
     pub instance: Option<InstanceId>,
     /// Time for which the backend server keeps the connection open without a
     /// request; an answer that doesn't say means less than a second.
-    pub kept_open: Option<Duration>,
+    pub keep_alive_timeout: Option<Duration>,
     /// Calls that the backend server can run at the same time; not all tell it.
     pub slots_count: Option<usize>,
     /// How busy the backend server is; not all tell it.
@@ -116,22 +116,22 @@
 pub struct PlatformStore {
     /// Reads configurations newer than what was read with this value last. The store may
     /// hold the read for the given time until there is one.
-    pub read_routes: Arc<dyn Fn(Duration) -> StoreFuture<RouteNews>>,
+    pub read_routes: Arc<dyn Fn(Duration) -> StoreFuture<ConfigurationRead>>,
     /// Some of the nodes that have entered themselves: one page, from a place on.
     pub register_page: Arc<dyn Fn(RegisterPosition) -> StoreFuture<RegisterPage>>,
     /// Enters this node, by its control address, at its place.
-    pub enter_node: Arc<dyn Fn(SocketAddr, RegisterPosition) -> StoreFuture<()>>,
+    pub register_node: Arc<dyn Fn(SocketAddr, RegisterPosition) -> StoreFuture<()>>,
     /// What answers of the store, refusals included, have told of its era so far.
-    pub eras: Arc<dyn Fn() -> ToldEras>,
+    pub eras: Arc<dyn Fn() -> ObservedEras>,
 }
 
 /// What answers of a store have told of its era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ToldEras {
+pub struct ObservedEras {
     /// The highest one; `None` if none was told.
     pub highest: Option<StoreEra>,
     /// Whether there was an answer without one.
-    pub has_told_none: bool,
+    pub has_answer_without_era: bool,
     /// Answers whose era can't be read.
     pub malformed_count: u64,
 }
@@ -158,13 +158,13 @@
 
 /// What a read of configurations brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RouteNews {
+pub struct ConfigurationRead {
     /// The one with the highest version, if there were any.
     pub newest: Option<Box<RouteConfiguration>>,
     /// For each one that can't be read all that is wrong about it, with its place.
     pub malformed: Vec<Vec<String>>,
     /// Whether all that the store had when it was asked has been read by now.
-    pub is_all: bool,
+    pub is_complete: bool,
     /// Era of the store that the read belongs to; `None` if the store tells none.
     pub era: Option<StoreEra>,
     /// Whether that era is over: what was read was confirmed once and says nothing of the store
@@ -174,9 +174,9 @@
     pub stored_version: RouteVersion,
 }
 
-impl RouteNews {
+impl ConfigurationRead {
     /// Whether there was anything.
-    pub fn is_news(&self) -> bool {
+    pub fn has_configurations(&self) -> bool {
         self.newest.is_some() || !self.malformed.is_empty()
     }
 }
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -26,9 +26,9 @@
 
 use super::{
     configuration_exchange::{
-        on_configuration, on_follow_answer, on_followed, ping, tell_configuration,
+        on_configuration, on_follow_answer, on_follow_state, ping_frame, send_configuration,
     },
-    link_answer::{HandedOver, LinkAnswer},
+    link_answer::{LinkAnswer, MayHaveRun},
     link_frames::{FrameWriter, read_frames},
     node::RoutedNode,
     quotas::{on_loan, on_quota_answer},
@@ -95,7 +95,7 @@
     end_bytes: u64,
     /// Whether it may run only once this node has committed to it.
     needs_commit: bool,
-    handed_over: HandedOver,
+    may_have_run: MayHaveRun,
 }
 
 /// Sends a call to another node and waits for what comes of it.
@@ -113,7 +113,7 @@
     peer: SocketAddr,
     mut call: CallHead<'_>,
     payload: &Payload,
-    handed_over: &HandedOver,
+    may_have_run: &MayHaveRun,
 ) -> LinkAnswer {
     let link = link_to(node, peer, payload.body.len());
     if !link.frames.has_room() {
@@ -123,18 +123,18 @@
     let number = call.number;
     let needs_commit = call.needs_commit;
     if !needs_commit {
-        handed_over.set();
+        may_have_run.set();
     }
     let (sender, mut receiver) = oneshot::channel();
     let now = node.now();
-    let asked = node.unsuspended_at_most(now);
+    let asked = node.boot_time_at_most(now);
     let end_bytes = link.frames.push_with(&FrameHead::Call(call), payload);
     let pending = Pending {
         answer: sender,
         asked,
         end_bytes,
         needs_commit,
-        handed_over: handed_over.clone(),
+        may_have_run: may_have_run.clone(),
     };
     link.pending.borrow_mut().insert(number, pending);
     link.health.borrow_mut().sent(now);
@@ -145,7 +145,7 @@
     let answer = tokio::select! {
         answer = &mut receiver => answer,
         () = silence(&link) => {
-            if needs_commit && !handed_over.get() {
+            if needs_commit && !may_have_run.get() {
                 return LinkAnswer::not_run(NotRunReason::Unsent);
             }
             receiver.await
@@ -162,7 +162,7 @@
 }
 
 /// Waits until the link over which a call goes has gone silent.
-pub(crate) async fn silence_of(node: &Rc<RoutedNode>, peer: SocketAddr, body_bytes: usize) {
+pub(crate) async fn link_silence(node: &Rc<RoutedNode>, peer: SocketAddr, body_bytes: usize) {
     let link = link_to(node, peer, body_bytes);
     silence(&link).await;
 }
@@ -265,9 +265,9 @@
             let asked = Duration::from_millis(asked_ms);
             on_follow_answer(node, &link.frames, followed, asked);
         }
-        FrameHead::Ping { followed, .. } => on_followed(node, &link.frames, followed),
+        FrameHead::Ping { followed, .. } => on_follow_state(node, &link.frames, followed),
         FrameHead::Configuration => on_configuration(node, frame.body()),
-        FrameHead::ConfigurationAsk => tell_configuration(node, &link.frames),
+        FrameHead::ConfigurationAsk => send_configuration(node, &link.frames),
         FrameHead::Loan {
             lender,
             granted,
@@ -291,11 +291,11 @@
             log::warn!(event = "link_confused"; "a frame came from the wrong side of a link");
         }
     }
-    on_sign_of_life(node, link);
+    on_activity(node, link);
     Ok(())
 }
 
-fn on_sign_of_life(node: &RoutedNode, link: &Link) {
+fn on_activity(node: &RoutedNode, link: &Link) {
     let is_waited_for = !link.pending.borrow().is_empty();
     link.health.borrow_mut().heard(node.now(), is_waited_for);
     // Each call on the link watches this; told of each frame, all of them would wake up for
@@ -313,7 +313,7 @@
 fn on_granted(link: &Link, number: CallNumber) {
     if let Some(pending) = link.pending.borrow_mut().get_mut(&number) {
         pending.needs_commit = false;
-        pending.handed_over.set();
+        pending.may_have_run.set();
         pending.end_bytes = link.frames.push(&FrameHead::Commit { number });
     }
 }
@@ -340,7 +340,7 @@
 async fn answers(node: &Rc<RoutedNode>, peer: SocketAddr) -> bool {
     let link = link_to(node, peer, 0);
     let news = link.news.notified();
-    link.frames.push(&ping(node));
+    link.frames.push(&ping_frame(node));
     let _ = tokio::time::timeout(CONNECT_TIMEOUT, news).await;
     link.has_heard.get() && !*link.is_silent.borrow()
 }
@@ -351,7 +351,7 @@
         Some(pending) => {
             on_follow_answer(node, &link.frames, answer.followed, pending.asked);
         }
-        None => on_followed(node, &link.frames, answer.followed),
+        None => on_follow_state(node, &link.frames, answer.followed),
     }
     // Without one the call was given up; the answer has crossed the cancellation.
     if let Some(pending) = pending {
@@ -367,9 +367,9 @@
 }
 
 /// Asks another node for a sign of life, which tells how far it follows the configuration.
-pub(crate) fn ask_sign_of_life(node: &Rc<RoutedNode>, peer: SocketAddr) {
+pub(crate) fn send_ping(node: &Rc<RoutedNode>, peer: SocketAddr) {
     let link = link_to(node, peer, 0);
-    link.frames.push(&ping(node));
+    link.frames.push(&ping_frame(node));
 }
 
 /// Sends a frame that isn't a call to another node.
@@ -403,7 +403,7 @@
     match health.look(node.now(), WATCH_INTERVAL, is_waited_for) {
         LinkAction::Keep => {}
         LinkAction::Ask => {
-            link.frames.push(&ping(node));
+            link.frames.push(&ping_frame(node));
         }
         LinkAction::Avoid if !node.is_on(Mechanism::SilentLinks) => {}
         LinkAction::Avoid => {
--- a/crates/kumquatquayd/src/routed/link_answer.rs
+++ b/crates/kumquatquayd/src/routed/link_answer.rs
@@ -9,9 +9,9 @@
 /// Whether a call may have been handed to a backend server. While it may not, its caller
 /// can be told truly that it has not run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HandedOver(Rc<Cell<bool>>);
+pub(crate) struct MayHaveRun(Rc<Cell<bool>>);
 
-impl HandedOver {
+impl MayHaveRun {
     pub(crate) fn set(&self) {
         self.0.set(true);
     }
@@ -63,7 +63,7 @@
 
     /// This answer if it is a backend server's, or else what another attempt of the same
     /// call brings. That the other one has not run says nothing of this one.
-    pub(crate) async fn or_whole(self, other: impl Future<Output = Self>) -> Self {
+    pub(crate) async fn or_other_attempt(self, other: impl Future<Output = Self>) -> Self {
         if matches!(self.outcome, LinkOutcome::Answered { .. }) {
             return self;
         }
--- a/crates/kumquatquayd/src/routed/link_frames.rs
+++ b/crates/kumquatquayd/src/routed/link_frames.rs
@@ -18,7 +18,7 @@
     sync::Notify,
 };
 
-use super::spare_buffers::{give_back_buffer, take_buffer, with_read_buffer};
+use super::buffer_pool::{return_buffer, take_buffer, with_read_buffer};
 
 /// Bytes that may wait for a peer that doesn't read; no call is added beyond.
 const UNWRITTEN_LIMIT_BYTES: usize = 16 * 1024 * 1024;
@@ -63,7 +63,7 @@
     }
 
     /// Whether calls of the peer may be run, whose answers have to wait behind these bytes.
-    pub(super) fn takes_answers(&self) -> bool {
+    pub(super) fn has_room_for_answers(&self) -> bool {
         self.unwritten.borrow().len() < UNWRITTEN_ANSWERS_LIMIT_BYTES
     }
 
@@ -95,7 +95,7 @@
                     .set(self.written_bytes.get() + written as u64);
                 rest = &rest[written..];
             }
-            give_back_buffer(chunk);
+            return_buffer(chunk);
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -17,12 +17,12 @@
 use tokio::{net::TcpStream, sync::oneshot};
 
 use super::{
-    configuration_exchange::{on_configuration, on_followed, tell_configuration},
+    configuration_exchange::{on_configuration, on_follow_state, send_configuration},
     link_answer::LinkAnswer,
     link_frames::{FrameWriter, read_frames},
     local_run::run_locally,
     node::RoutedNode,
-    quotas::{give_back_here, lend, take_here},
+    quotas::{lend, return_local_token, take_local_token},
     runners::run_call,
 };
 
@@ -115,7 +115,7 @@
             return node.follow_state();
         }
         self.proof_told.set(now);
-        node.follow_answer()
+        node.follow_state_with_proof()
     }
 
     /// Pressures on the services that a route leads to, unless told just now.
@@ -152,8 +152,8 @@
 ) -> Result<(), WireError> {
     match frame.head()? {
         FrameHead::Call(call) => {
-            on_followed(node, &link.frames, call.followed);
-            if link.frames.takes_answers() {
+            on_follow_state(node, &link.frames, call.followed);
+            if link.frames.has_room_for_answers() {
                 on_call(node, link, call.number, frame.held()?);
             } else {
                 // Answers wait in memory for a peer that doesn't read.
@@ -174,11 +174,11 @@
             }
         }
         FrameHead::Ping { followed, asked_ms } => {
-            on_followed(node, &link.frames, followed);
-            let followed = node.follow_answer();
+            on_follow_state(node, &link.frames, followed);
+            let followed = node.follow_state_with_proof();
             link.frames.push(&FrameHead::Pong { followed, asked_ms });
         }
-        FrameHead::ConfigurationAsk => tell_configuration(node, &link.frames),
+        FrameHead::ConfigurationAsk => send_configuration(node, &link.frames),
         FrameHead::Configuration => on_configuration(node, frame.body()),
         FrameHead::LoanAsk {
             keeper,
@@ -189,11 +189,11 @@
             link.frames.push(&loan);
         }
         FrameHead::QuotaAsk { number, workspace } => {
-            let verdict = take_here(node, &workspace);
+            let verdict = take_local_token(node, &workspace);
             link.frames
                 .push(&FrameHead::QuotaAnswer { number, verdict });
         }
-        FrameHead::QuotaReturn { workspace } => give_back_here(node, &workspace),
+        FrameHead::QuotaReturn { workspace } => return_local_token(node, &workspace),
         FrameHead::Pong { .. }
         | FrameHead::Answer(_)
         | FrameHead::Granted { .. }
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -12,11 +12,11 @@
 
 use super::{
     backend_pool::{BackendAnswer, SendError},
-    http_io::{WholeBody, fields_of, headers_of},
-    interface::HandOver,
+    http_io::{BufferedBody, fields_from_headers, headers_from_fields},
+    interface::ForwardedMetadata,
     link_answer::LinkAnswer,
-    members::{announce, announce_death},
-    node::{RoutedNode, RunTicket},
+    members::{announce_backend, announce_backend_death},
+    node::{RoutedNode, RunPermit},
     server_notices::{on_known_limit, on_notices},
 };
 
@@ -111,7 +111,7 @@
         let is_silent = node.pulse.borrow().is_silent(now, work);
         if is_silent && node.is_on(Mechanism::SilentBackend) {
             // Runs under way go on: their answers may still come.
-            announce_death(&node, "it gives no answers");
+            announce_backend_death(&node, "it gives no answers");
         }
         node.level.borrow_mut().tick(now, state);
     }
@@ -123,7 +123,7 @@
         let wait = node.gate.borrow().limit_wait(node.now());
         match wait {
             Some(wait) => tokio::time::sleep(wait).await,
-            None => node.limit_wait_news.notified().await,
+            None => node.limit_wait_started.notified().await,
         }
         admit_waiting(&node);
     }
@@ -163,7 +163,7 @@
         let next = node.gate.borrow_mut().next(now);
         let Some(ticket) = next else {
             if node.gate.borrow().limit_wait(now).is_some() {
-                node.limit_wait_news.notify_one();
+                node.limit_wait_started.notify_one();
             }
             return;
         };
@@ -209,7 +209,7 @@
     };
     if node.gate.borrow().limit_wait(node.now()).is_some() {
         node.metrics.count("server_limit", "waited");
-        node.limit_wait_news.notify_one();
+        node.limit_wait_started.notify_one();
     }
     let mut waiting = WaitingCall { node, key, granted };
     let wait = timed.latest_start(node).saturating_sub(node.now());
@@ -252,7 +252,7 @@
     }
 }
 
-fn offer(node: &RoutedNode, timed: &Timed<'_>, ticket: RunTicket) -> Admission<RunTicket> {
+fn offer(node: &RoutedNode, timed: &Timed<'_>, ticket: RunPermit) -> Admission<RunPermit> {
     let call = GateCall {
         priority: timed.call.priority,
         whole_priority: timed.call.whole_priority,
@@ -438,19 +438,19 @@
     node: &RoutedNode,
     timed: &Timed<'_>,
     time_left: Duration,
-) -> Option<Request<WholeBody>> {
+) -> Option<Request<BufferedBody>> {
     let call = timed.call;
     let mut request = Request::new(Full::new(timed.payload.body.clone()));
     *request.method_mut() = Method::from_bytes(call.method.as_bytes()).ok()?;
     *request.uri_mut() = call.target.parse::<Uri>().ok()?;
-    *request.headers_mut() = headers_of(&timed.payload.fields, HAND_OVER_FIELDS_COUNT);
-    let hand_over = HandOver {
+    *request.headers_mut() = headers_from_fields(&timed.payload.fields, HAND_OVER_FIELDS_COUNT);
+    let hand_over = ForwardedMetadata {
         time_left,
         instance: call.life.as_ref().map(|life| &life.instance),
         caller_service: call.caller_service,
         workspace: call.workspace,
     };
-    (node.dialect.write_hand_over)(request.headers_mut(), &hand_over);
+    (node.dialect.write_forwarded_metadata)(request.headers_mut(), &hand_over);
     Some(request)
 }
 
@@ -475,7 +475,7 @@
         node.pace.borrow_mut().on_told(node.now(), ratio);
     }
     let is_other = marks
-        .attempt
+        .attempt_id
         .as_ref()
         .is_some_and(|attempt| *attempt != timed.call.attempt);
     if is_other {
@@ -487,19 +487,19 @@
         if let Some(instance) = &marks.instance
             && node.lives.borrow_mut().on_answered_as(instance)
         {
-            announce(node);
+            announce_backend(node);
         }
-        answer.keep(marks.kept_open);
+        answer.keep(marks.keep_alive_timeout);
         return HandedOver::Ended(LinkAnswer::not_run(NotRunReason::TurnedAway));
     }
     if marks.is_not_run {
         on_notices(node, timed.call, began, &marks);
-        answer.keep(marks.kept_open);
+        answer.keep(marks.keep_alive_timeout);
         return HandedOver::TurnedAway;
     }
     let is_encoded = answer.headers.contains_key(http::header::CONTENT_ENCODING);
     let is_success = (200..300).contains(&answer.status);
-    let is_own = marks.attempt.is_some() && marks.is_signed && !is_encoded;
+    let is_own = marks.attempt_id.is_some() && marks.is_signed && !is_encoded;
     let is_hollow_promise = PROMISES.contains(&answer.status) && !marks.is_signed;
     if (is_success && !is_own) || is_hollow_promise {
         node.metrics.count("garbled", "unsigned");
@@ -508,8 +508,8 @@
     }
     on_notices(node, timed.call, began, &marks);
     let status = answer.status;
-    let fields = fields_of(&answer.headers);
-    let body = answer.keep(marks.kept_open);
+    let fields = fields_from_headers(&answer.headers);
+    let body = answer.keep(marks.keep_alive_timeout);
     HandedOver::Ended(LinkAnswer {
         outcome: LinkOutcome::Answered { status },
         payload: Payload { fields, body },
@@ -523,7 +523,7 @@
 fn on_send_error(node: &RoutedNode, error: SendError) -> LinkAnswer {
     match error {
         SendError::NobodyThere => {
-            announce_death(node, "nothing listens at its address");
+            announce_backend_death(node, "nothing listens at its address");
             LinkAnswer::not_run(NotRunReason::Closed)
         }
         SendError::Unsent => LinkAnswer::not_run(NotRunReason::TurnedAway),
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -34,7 +34,7 @@
 const RETURNED_COUNT: usize = 3;
 
 /// Tells the membership what the backend server of this host is.
-pub(crate) fn announce(node: &RoutedNode) {
+pub(crate) fn announce_backend(node: &RoutedNode) {
     let lives = node.lives.borrow();
     let Some(current) = lives.current() else {
         return;
@@ -64,7 +64,7 @@
 
 /// Tells the membership that the backend server of this host is dead, until it
 /// reports again.
-pub(crate) fn announce_death(node: &RoutedNode, why: &str) {
+pub(crate) fn announce_backend_death(node: &RoutedNode, why: &str) {
     if node.lives.borrow_mut().on_found_dead() {
         log::warn!(event = "backend_dead"; "the backend server is taken to be dead: {why}");
         node.engine.handle(BackendInput::Died);
@@ -128,7 +128,7 @@
 /// A host that is started again while the store is away knows nobody, and nobody
 /// probes the address of one that left in good order. It would be alone until the
 /// store returns; an introduction brings it its peers within seconds.
-pub(crate) async fn look_for_returned(node: Rc<RoutedNode>) {
+pub(crate) async fn reintroduce_to_gone_members(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(RETURNED_INTERVAL).await;
         let gone: Vec<SocketAddr> = node.engine.look_at_members(|members| {
@@ -146,7 +146,7 @@
 }
 
 /// Enters this node in the register and introduces it to some that are found there.
-pub(crate) async fn use_register(node: Rc<RoutedNode>, store: PlatformStore) {
+pub(crate) async fn join_through_register(node: Rc<RoutedNode>, store: PlatformStore) {
     let own = node.settings.listen.control;
     node.engine
         .handle(Input::Seeds(node.settings.seeds.clone()));
@@ -155,7 +155,7 @@
     loop {
         match course.step(node.now(), peers_count(&node)) {
             RegisterStep::Enter => {
-                let entered = (store.enter_node)(own, register_position(own)).await;
+                let entered = (store.register_node)(own, register_position(own)).await;
                 look_for_return(&node, &store, &mut course);
                 match entered {
                     Ok(()) => on_entered(&node, &mut course),
@@ -242,7 +242,7 @@
 }
 
 /// Ticks the core.
-pub(crate) async fn tick(engine: Arc<Engine>) {
+pub(crate) async fn run_ticks(engine: Arc<Engine>) {
     loop {
         let wait = engine.tick();
         tokio::time::sleep(wait).await;
@@ -251,7 +251,7 @@
 
 /// Carries out what the core asks of its host; the logs of the core's other
 /// concerns aren't kept on this platform.
-pub(crate) async fn carry_out(
+pub(crate) async fn run_effects(
     engine: Arc<Engine>,
     mut effects: UnboundedReceiver<Effect>,
     socket: Arc<UdpSocket>,
--- a/crates/kumquatquayd/src/routed/mod.rs
+++ b/crates/kumquatquayd/src/routed/mod.rs
@@ -12,9 +12,10 @@
 
 mod admission;
 mod backend_pool;
+mod buffer_pool;
+mod caller_connection;
 mod caller_identity;
 mod configuration_exchange;
-mod connection_row;
 mod counted;
 mod entry;
 mod first_look;
@@ -43,14 +44,13 @@
 mod runners;
 mod server_notices;
 mod settings;
-mod spare_buffers;
 mod start;
 mod started_request;
 mod store_return;
 
 pub use interface::{
-    AnswerMarks, BackendReport, Dialect, HandOver, PlatformStore, RegisterPage, RequestMarks,
-    RouteNews, StoreError, StoreFuture, ToldEras,
+    AnswerMetadata, BackendReport, ConfigurationRead, Dialect, ForwardedMetadata, ObservedEras,
+    PlatformStore, RegisterPage, RequestMetadata, StoreError, StoreFuture,
 };
-pub use settings::{Bounds, Limits, Listen, RetryBudget, RoutedSettings};
+pub use settings::{ListenAddresses, ResourceLimits, RetryBudget, RoutedSettings, TimeBounds};
 pub use start::run;
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -56,7 +56,7 @@
 const HEAD_LEAST_BYTES: usize = 8 * 1024;
 
 /// Tells a waiting call that it may run.
-pub(crate) type RunTicket = oneshot::Sender<()>;
+pub(crate) type RunPermit = oneshot::Sender<()>;
 
 /// What the tasks of one node share; all of them run on one thread.
 ///
@@ -85,7 +85,7 @@
     /// By how much the clock that counts suspended time was ahead when it was read last.
     pub(super) suspended: Cell<Duration>,
     /// Told of each new proof.
-    pub(crate) proof_news: Notify,
+    pub(crate) proof_updated: Notify,
     /// When another node may next be asked for a configuration.
     next_ask: Cell<Duration>,
     pub(crate) targets: RefCell<LoadBalancer>,
@@ -95,9 +95,9 @@
     pub(crate) links: RefCell<Links>,
     /// What runs the calls of other nodes.
     pub(super) runners: Runners,
-    pub(crate) gate: RefCell<HostGate<RunTicket>>,
+    pub(crate) gate: RefCell<HostGate<RunPermit>>,
     /// Told of the first call that waits for the rate limit of the backend server.
-    pub(crate) limit_wait_news: Notify,
+    pub(crate) limit_wait_started: Notify,
     pub(crate) lives: RefCell<BackendLives>,
     /// Whether the backend server of this host gives answers.
     pub(crate) pulse: RefCell<BackendLiveness>,
@@ -120,7 +120,7 @@
     /// Who asked for how much of the room that is short.
     pub(super) shares: RefCell<FairShares>,
     /// Told of the first that is held.
-    pub(super) held_request_news: Notify,
+    pub(super) request_held: Notify,
     /// News of routes that were worked out just now.
     news: RefCell<HashMap<String, (Duration, RouteNews)>>,
     pub(crate) backend: BackendPool,
@@ -129,7 +129,7 @@
     /// Quotas of workspaces: what this node owns and keeps.
     pub(crate) quotas: RefCell<Quotas>,
     /// The most nodes that any other one has told that it knew at the same time; 0 before that.
-    pub(crate) told_nodes_count: Cell<usize>,
+    pub(crate) reported_nodes_count: Cell<usize>,
     /// Keys that no workspace holds and that were shown here, or were taken away.
     pub(crate) unknown_keys: RefCell<UnknownKeys>,
     /// Requests that wait until it is known whether their keys are.
@@ -166,7 +166,7 @@
 }
 
 /// The gate of this host, as the mechanisms that are on make it.
-fn gate_by(mechanisms: Mechanisms) -> HostGate<RunTicket> {
+fn gate_by(mechanisms: Mechanisms) -> HostGate<RunPermit> {
     let order = if mechanisms.is_on(Mechanism::LateLast) {
         QueueOrder::LateLast
     } else {
@@ -203,7 +203,7 @@
             store_return: StoreReturn::default(),
             proof: RefCell::default(),
             suspended: Cell::default(),
-            proof_news: Notify::new(),
+            proof_updated: Notify::new(),
             backend: BackendPool::new(settings.backend, answer_limit_bytes),
             phase: random.random(),
             targets: RefCell::new(LoadBalancer::new(settings.mechanisms)),
@@ -221,7 +221,7 @@
             links: RefCell::default(),
             runners: Runners::default(),
             gate: RefCell::new(gate),
-            limit_wait_news: Notify::new(),
+            limit_wait_started: Notify::new(),
             lives: RefCell::default(),
             pulse: RefCell::default(),
             pace: RefCell::default(),
@@ -234,11 +234,11 @@
             levels: RefCell::default(),
             held_requests: RefCell::default(),
             shares: RefCell::default(),
-            held_request_news: Notify::new(),
+            request_held: Notify::new(),
             metrics: NodeMetrics::new(),
             learnt: LearntLog::default(),
             quotas: RefCell::new(Quotas::new(unsuspended())),
-            told_nodes_count: Cell::new(0),
+            reported_nodes_count: Cell::new(0),
             unknown_keys: RefCell::default(),
             key_waits_count: Cell::new(0),
             refused_report_second: Cell::new(None),
@@ -261,7 +261,7 @@
     ///
     /// Each answer tells the version of who gave it, so without a pause one that is
     /// behind would ask hundreds of times before the first document has come.
-    pub(crate) fn may_ask_configuration(&self) -> bool {
+    pub(crate) fn begin_configuration_ask(&self) -> bool {
         let now = self.now();
         let is_due = now >= self.next_ask.get();
         if is_due {
@@ -306,7 +306,11 @@
     ///
     /// Configurations come from the store and from other nodes, in any order; one
     /// that is taken late must not bring back routes that were removed.
-    pub(crate) fn apply(&self, configuration: RouteConfiguration, from: &'static str) {
+    pub(crate) fn apply_configuration(
+        &self,
+        configuration: RouteConfiguration,
+        from: &'static str,
+    ) {
         let version = configuration.version;
         if version <= self.route_version() {
             return;
@@ -322,7 +326,7 @@
         drop(quotas);
         self.routes.replace(Some(Arc::new(table)));
         self.configuration.replace(Some(configuration));
-        self.prove(|proof| proof.applied(version));
+        self.update_proof(|proof| proof.applied(version));
         self.metrics.count("configuration", from);
         log::info!(event = "configuration_in_force", version = version, from = from;
             "a newer configuration is in force");
--- a/crates/kumquatquayd/src/routed/pipelining.rs
+++ b/crates/kumquatquayd/src/routed/pipelining.rs
@@ -26,9 +26,9 @@
 };
 
 use super::{
-    connection_row::{ConnectionRow, ReadStep, Turn},
+    caller_connection::{CallerConnection, ReadStep, Turn},
     entry::{CallerBody, serve_entry},
-    http_io::{WholeBody, own_answer, server},
+    http_io::{BufferedBody, http1_server, local_answer},
     node::{RoutedNode, StopPhase},
 };
 
@@ -47,7 +47,7 @@
 
 /// Serves one connection of a caller until it ends or the node stops.
 pub(crate) async fn serve_caller(node: Rc<RoutedNode>, stream: TcpStream) {
-    let row = ConnectionRow::new(Rc::clone(&node), stream.peer_addr().ok());
+    let row = CallerConnection::new(Rc::clone(&node), stream.peer_addr().ok());
     let answering = Rc::clone(&row);
     let service = service_fn(move |request| {
         // Known at once: the HTTP library asks for more bytes before it waits for the answer.
@@ -60,7 +60,7 @@
         row: Rc::clone(&row),
         stalled: None,
     };
-    let mut connection = server(row.head_limit_bytes()).serve_connection(io, service);
+    let mut connection = http1_server(row.head_limit_bytes()).serve_connection(io, service);
     let mut stop = node.stop.subscribe();
     // One that was accepted in that phase has its request answered with a refusal. Closed
     // unread, it would tell the caller nothing of when to come back.
@@ -91,10 +91,10 @@
 
 /// Answers a request that the HTTP library has read.
 async fn answer(
-    row: Rc<ConnectionRow>,
+    row: Rc<CallerConnection>,
     turn: Turn,
     mut request: Request<Incoming>,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     if let Some(caller) = row.caller() {
         request.extensions_mut().insert(caller);
     }
@@ -135,22 +135,22 @@
 }
 
 /// Refuses a request while callers leave too much unread.
-fn refuse_for_memory(node: &RoutedNode) -> Response<WholeBody> {
+fn refuse_for_memory(node: &RoutedNode) -> Response<BufferedBody> {
     node.metrics.count("refused", "unread_answers");
     if node.metrics.take_log_permit(node.now()) {
         log::warn!(event = "answers_unread", held_bytes = node.held_answers.get().bytes();
             "callers leave so much unread that no request is taken");
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    own_answer(status, Some(UNREAD_RETRY), "too much is unread\n")
+    local_answer(status, Some(UNREAD_RETRY), "too much is unread\n")
 }
 
 /// The request with its body, or the answer to one whose body is broken.
-async fn whole(request: Request<Incoming>) -> Result<Request<Bytes>, Response<WholeBody>> {
+async fn whole(request: Request<Incoming>) -> Result<Request<Bytes>, Response<BufferedBody>> {
     let (parts, body) = request.into_parts();
     match body.collect().await {
         Ok(body) => Ok(Request::from_parts(parts, body.to_bytes())),
-        Err(_) => Err(own_answer(
+        Err(_) => Err(local_answer(
             StatusCode::BAD_REQUEST,
             None,
             "the body is broken\n",
@@ -182,7 +182,7 @@
 /// A caller's socket, as the HTTP library sees it: one request at a time.
 struct RowIo {
     stream: TcpStream,
-    row: Rc<ConnectionRow>,
+    row: Rc<CallerConnection>,
     /// Runs while the caller takes nothing.
     stalled: Option<Pin<Box<Sleep>>>,
 }
--- a/crates/kumquatquayd/src/routed/proofs.rs
+++ b/crates/kumquatquayd/src/routed/proofs.rs
@@ -21,7 +21,7 @@
 impl RoutedNode {
     /// How long a request waits for what a node lacks that has just started: a proof, and parts of
     /// quotas. Refused, its caller would come back later than it could have been served.
-    pub(crate) fn starting_patience(&self, route: &RouteSettings) -> Duration {
+    pub(crate) fn startup_wait(&self, route: &RouteSettings) -> Duration {
         if self.now() < STARTING_TIME {
             route.target_latency.mul_f64(STARTING_PATIENCE_RATIO)
         } else {
@@ -30,7 +30,7 @@
     }
 
     /// Time by the clock that counts suspended time.
-    pub(crate) fn unsuspended(&self) -> Duration {
+    pub(crate) fn boot_time(&self) -> Duration {
         let now = unsuspended();
         self.suspended.set(now.saturating_sub(self.now()));
         now
@@ -39,12 +39,12 @@
     /// A moment by that clock that is now or before: time in which the host was suspended lately may
     /// be missing. It costs no reading of that clock, and a question that is taken for older than
     /// it is makes a proof no younger.
-    pub(crate) fn unsuspended_at_most(&self, now: Duration) -> Duration {
+    pub(crate) fn boot_time_at_most(&self, now: Duration) -> Duration {
         now + self.suspended.get()
     }
 
     /// How far this node follows the configuration, as those are told who asked.
-    pub(crate) fn follow_answer(&self) -> FollowState {
+    pub(crate) fn follow_state_with_proof(&self) -> FollowState {
         FollowState {
             proof_age_ms: self.proof_age().and_then(age_ms),
             ..self.follow_state()
@@ -53,14 +53,14 @@
 
     /// How long ago the configuration in force was the newest for sure.
     pub(crate) fn proof_age(&self) -> Option<Duration> {
-        self.proof.borrow().age(self.unsuspended())
+        self.proof.borrow().age(self.boot_time())
     }
 
     /// Whether keys may have been taken away too long ago for this node to accept any.
     ///
     /// Nodes that stay without word of the store refuse what needs a key before it could be run
     /// with one that was taken away longer ago than is allowed.
-    pub(crate) fn lacks_proof(&self) -> bool {
+    pub(crate) fn lacks_valid_proof(&self) -> bool {
         let Some(bound) = self.settings.bounds.revoke else {
             return false;
         };
@@ -69,13 +69,13 @@
     }
 
     /// Whether the configuration in force is so new that another one needn't be in force yet.
-    pub(crate) fn is_current(&self) -> bool {
+    pub(crate) fn is_configuration_current(&self) -> bool {
         let bound = self.settings.bounds.configuration;
         self.proof_age().is_some_and(|age| age < bound)
     }
 
     /// Asks for a proof that begins now.
-    pub(crate) fn want_proof(&self) {
+    pub(crate) fn request_proof(&self) {
         let nodes_count = self.follower_fleet().nodes_count;
         self.follower.borrow_mut().want(self.now(), nodes_count);
         self.follower_wake.notify_one();
@@ -88,13 +88,13 @@
     }
 
     /// Takes in what shows until when the configuration in force was the newest.
-    pub(crate) fn prove(&self, learn: impl FnOnce(&mut FreshnessProof)) {
+    pub(crate) fn update_proof(&self, learn: impl FnOnce(&mut FreshnessProof)) {
         let mut proof = self.proof.borrow_mut();
         learn(&mut proof);
-        if let Some(age) = proof.age(self.unsuspended()) {
+        if let Some(age) = proof.age(self.boot_time()) {
             let proven = self.now().saturating_sub(age);
             self.follower.borrow_mut().proven(proven);
-            self.proof_news.notify_waiters();
+            self.proof_updated.notify_waiters();
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -93,7 +93,7 @@
 impl Drop for UnspentToken<'_> {
     fn drop(&mut self) {
         if let Some(token) = self.token.take() {
-            give_back(self.node, token);
+            return_token(self.node, token);
         }
     }
 }
@@ -161,7 +161,7 @@
     for keeper in keepers_of(node, &workspace.name) {
         let own = keeper == node.links_address();
         let verdict = if own {
-            Some(take_here(node, &workspace.name))
+            Some(take_local_token(node, &workspace.name))
         } else {
             ask_keeper(node, keeper, &workspace.name).await
         };
@@ -181,7 +181,7 @@
         }
     }
     // What nobody has asked this node to lend.
-    if take_here(node, &workspace.name) == QuotaVerdict::Within {
+    if take_local_token(node, &workspace.name) == QuotaVerdict::Within {
         return token(None);
     }
     Err(refusal)
@@ -255,12 +255,12 @@
 }
 
 /// Takes a token from what is lent to this node.
-pub(crate) fn take_here(node: &RoutedNode, workspace: &str) -> QuotaVerdict {
+pub(crate) fn take_local_token(node: &RoutedNode, workspace: &str) -> QuotaVerdict {
     let Some(limit) = limit_of(node, workspace) else {
         return QuotaVerdict::NotKnown;
     };
     let mut quotas = node.quotas.borrow_mut();
-    match quotas.shares.take(node.unsuspended(), workspace, limit) {
+    match quotas.shares.take(node.boot_time(), workspace, limit) {
         Ok(()) => QuotaVerdict::Within,
         Err(over) => {
             let wait_ms = over.wait.map(|wait| wait.as_millis());
@@ -273,9 +273,9 @@
 }
 
 /// Gives a token back: its request has not run.
-pub(crate) fn give_back(node: &Rc<RoutedNode>, token: QuotaToken) {
+pub(crate) fn return_token(node: &Rc<RoutedNode>, token: QuotaToken) {
     match token.keeper {
-        None => give_back_here(node, &token.workspace),
+        None => return_local_token(node, &token.workspace),
         Some(keeper) => {
             let workspace = token.workspace;
             send_frame(node, keeper, &FrameHead::QuotaReturn { workspace });
@@ -283,12 +283,10 @@
     }
 }
 
-pub(crate) fn give_back_here(node: &RoutedNode, workspace: &str) {
+pub(crate) fn return_local_token(node: &RoutedNode, workspace: &str) {
     if let Some(limit) = limit_of(node, workspace) {
         let mut quotas = node.quotas.borrow_mut();
-        quotas
-            .shares
-            .give_back(node.unsuspended(), workspace, limit);
+        quotas.shares.give_back(node.boot_time(), workspace, limit);
     }
 }
 
@@ -319,13 +317,13 @@
     let mut quotas = node.quotas.borrow_mut();
     quotas
         .shares
-        .lend(node.unsuspended(), keeper, wanted, nodes_count)
+        .lend(node.boot_time(), keeper, wanted, nodes_count)
 }
 
 /// Takes in a loan of another node.
 pub(crate) fn on_loan(node: &RoutedNode, lender: SocketAddr, loan: Loan) {
     let mut quotas = node.quotas.borrow_mut();
-    quotas.shares.lent(node.unsuspended(), lender, loan);
+    quotas.shares.lent(node.boot_time(), lender, loan);
 }
 
 /// Nodes among which quotas are split; `None` while that isn't known.
@@ -334,7 +332,7 @@
 /// most that it or any other one ever saw counts, and at first, or while no other one has told
 /// it, what the register seems to have.
 pub(crate) fn nodes_count(node: &RoutedNode) -> Option<usize> {
-    let told_count = node.told_nodes_count.get();
+    let told_count = node.reported_nodes_count.get();
     let registered_count = node.register_estimate_count.get();
     let now = node.now();
     if told_count.max(registered_count) == 0 && now < UNTOLD_TIME {
@@ -348,7 +346,7 @@
 }
 
 /// Asks the nodes of the own data centre for what they own, where this node is a keeper.
-pub(crate) async fn keep_quotas(node: Rc<RoutedNode>) {
+pub(crate) async fn run_quota_loans(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(LOAN_INTERVAL).await;
         let has_quotas = node
@@ -357,7 +355,7 @@
         if has_quotas {
             let nodes_count = nodes_count(&node);
             let mut quotas = node.quotas.borrow_mut();
-            quotas.shares.use_rest(node.unsuspended(), nodes_count);
+            quotas.shares.use_rest(node.boot_time(), nodes_count);
             drop(quotas);
             if node.is_on(Mechanism::QuotaLoans) {
                 ask_for_loans(&node);
@@ -388,7 +386,7 @@
     if wanted.is_empty() {
         return;
     }
-    let asked = node.unsuspended();
+    let asked = node.boot_time();
     let granted = lend_parts(node, own, wanted);
     let nodes_count = nodes_count(node).unwrap_or(usize::MAX);
     let loan = Loan {
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -9,10 +9,10 @@
 use kumquatquay_core::routed::LifeReport;
 
 use super::{
-    http_io::{WholeBody, own_answer},
+    http_io::{BufferedBody, local_answer},
     interface::BackendReport,
     local_run::admit_waiting,
-    members::announce,
+    members::announce_backend,
     metrics_text::metrics_text,
     node::{RoutedNode, StopPhase},
 };
@@ -30,7 +30,7 @@
 pub(crate) async fn serve_report(
     node: Rc<RoutedNode>,
     request: Request<Incoming>,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let (parts, body) = request.into_parts();
     let body = match Limited::new(body, REPORT_LIMIT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
@@ -46,7 +46,7 @@
 /// Refuses a report that can't be used; the backend server that is known holds.
 ///
 /// Whoever writes such reports may write thousands: a line a second tells of them.
-fn bad_report(node: &RoutedNode, reason: String) -> Response<WholeBody> {
+fn bad_report(node: &RoutedNode, reason: String) -> Response<BufferedBody> {
     node.metrics.count("report", "refused");
     let second = node.now().as_secs();
     if node.refused_report_second.replace(Some(second)) != Some(second) {
@@ -57,8 +57,8 @@
     answer
 }
 
-fn acknowledged() -> Response<WholeBody> {
-    let mut answer = own_answer(StatusCode::OK, None, "{}");
+fn acknowledged() -> Response<BufferedBody> {
+    let mut answer = local_answer(StatusCode::OK, None, "{}");
     let json = http::HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
     answer
@@ -89,7 +89,7 @@
 /// The backend server of this host is another one, or in another state.
 pub(crate) fn backend_changed(node: &RoutedNode) {
     set_limit(node);
-    announce(node);
+    announce_backend(node);
     admit_waiting(node);
 }
 
@@ -121,15 +121,15 @@
 pub(crate) async fn serve_readiness(
     node: Rc<RoutedNode>,
     request: Request<Incoming>,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     let (parts, _) = request.into_parts();
     if !(node.dialect.asks_readiness)(&parts) {
-        return own_answer(StatusCode::NOT_FOUND, None, "not found\n");
+        return local_answer(StatusCode::NOT_FOUND, None, "not found\n");
     }
     if can_serve(&node) && node.stop_phase() == StopPhase::Serving {
-        own_answer(StatusCode::OK, None, "ready\n")
+        local_answer(StatusCode::OK, None, "ready\n")
     } else {
-        own_answer(StatusCode::SERVICE_UNAVAILABLE, None, "not ready\n")
+        local_answer(StatusCode::SERVICE_UNAVAILABLE, None, "not ready\n")
     }
 }
 
@@ -138,13 +138,13 @@
     let Some(table) = node.routes() else {
         return false;
     };
-    !table.workspaces().ask_for_keys() || !node.lacks_proof()
+    !table.workspaces().ask_for_keys() || !node.lacks_valid_proof()
 }
 
 /// Serves the node's metrics as text.
 pub(crate) async fn serve_metrics(
     node: Rc<RoutedNode>,
     _request: Request<Incoming>,
-) -> Response<WholeBody> {
+) -> Response<BufferedBody> {
     Response::new(Full::new(Bytes::from(metrics_text(&node))))
 }
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{
-    caller_identity::IdentityRefusal, forwarding::OutgoingCall, interface::RequestMarks,
+    caller_identity::IdentityRefusal, forwarding::OutgoingCall, interface::RequestMetadata,
     link_answer::LinkAnswer, node::RoutedNode, quotas::QuotaRefusal,
 };
 
@@ -103,14 +103,18 @@
 
 /// Writes a line on a request of which it isn't known whose it is, or for which there is no
 /// route. Nothing of what it shows as a key is written.
-pub(crate) fn log_unidentified(node: &RoutedNode, marks: &RequestMarks, refusal: IdentityRefusal) {
+pub(crate) fn log_unidentified(
+    node: &RoutedNode,
+    marks: &RequestMetadata,
+    refusal: IdentityRefusal,
+) {
     if !node.metrics.take_log_permit(node.now()) {
         return;
     }
     let proof_age_ms = node.proof_age().map(|age| age.as_millis() as u64);
     log::info!(
         event = "request",
-        request = marks.attempt.as_deref().unwrap_or_default(),
+        request = marks.attempt_id.as_deref().unwrap_or_default(),
         outcome = "refused",
         why = refusal.name(),
         version = node.route_version(),
@@ -122,7 +126,7 @@
 /// Writes a line on a request that is beyond the quota of its workspace.
 pub(crate) fn log_over_quota(
     node: &RoutedNode,
-    marks: &RequestMarks,
+    marks: &RequestMetadata,
     route: &RouteEntry,
     workspace: &WorkspaceSettings,
     why: &'static str,
@@ -134,7 +138,7 @@
     let quota = workspace.quota;
     log::info!(
         event = "request",
-        request = marks.attempt.as_deref().unwrap_or_default(),
+        request = marks.attempt_id.as_deref().unwrap_or_default(),
         route = route.settings.name.as_str(),
         workspace = workspace.name.as_str(),
         outcome = "refused",
--- a/crates/kumquatquayd/src/routed/routes_watch.rs
+++ b/crates/kumquatquayd/src/routed/routes_watch.rs
@@ -8,8 +8,8 @@
 use tokio::task::JoinSet;
 
 use super::{
-    interface::{PlatformStore, RouteNews, StoreError},
-    link::{ask_configuration, ask_sign_of_life},
+    interface::{ConfigurationRead, PlatformStore, StoreError},
+    link::{ask_configuration, send_ping},
     node::RoutedNode,
 };
 
@@ -22,7 +22,7 @@
     began: Duration,
     /// The same by the clock that counts suspended time.
     asked: Duration,
-    news: Result<RouteNews, StoreError>,
+    news: Result<ConfigurationRead, StoreError>,
 }
 
 /// Puts each new configuration of the store in force.
@@ -98,7 +98,7 @@
         others.push(peer);
     }
     for other in others {
-        ask_sign_of_life(node, other);
+        send_ping(node, other);
     }
 }
 
@@ -120,7 +120,7 @@
 
 async fn read(node: Rc<RoutedNode>, store: PlatformStore, hold: Duration) -> EndedRead {
     let began = node.now();
-    let asked = node.unsuspended();
+    let asked = node.boot_time();
     let news = (store.read_routes)(hold).await;
     node.see_store_eras((store.eras)());
     EndedRead { began, asked, news }
@@ -142,18 +142,18 @@
             false
         }
         Ok(news) => {
-            follower.answered(now, news.is_news());
+            follower.answered(now, news.has_configurations());
             drop(follower);
             if was_ailing {
                 log::info!(event = "store_regained", unheard_ms = unheard.as_millis() as u64,
                     took_ms = took_ms, in_force = node.route_version();
                     "the store answers again");
             }
-            let proves = news.is_all && news.malformed.is_empty();
+            let proves = news.is_complete && news.malformed.is_empty();
             let era = news.era;
             let stored_version = news.stored_version;
             take_news(node, news);
-            node.prove(|proof| {
+            node.update_proof(|proof| {
                 proof.stored(era, stored_version);
                 if proves {
                     proof.read(ended.asked, era);
@@ -177,7 +177,7 @@
 
 /// Asks other nodes for their configuration while this one has none: the store may be
 /// away, or cut off, when a node starts, and without routes it serves nothing.
-pub(crate) async fn ask_for_configuration(node: Rc<RoutedNode>) {
+pub(crate) async fn fetch_configuration_from_peers(node: Rc<RoutedNode>) {
     while node.route_version() == 0 {
         tokio::time::sleep(PEER_PAUSE).await;
         let peer = any_peer(&node);
@@ -187,9 +187,9 @@
     }
 }
 
-fn take_news(node: &Rc<RoutedNode>, news: RouteNews) {
+fn take_news(node: &Rc<RoutedNode>, news: ConfigurationRead) {
     if let Some(newest) = news.newest {
-        node.apply(*newest, "store");
+        node.apply_configuration(*newest, "store");
     }
     for findings in news.malformed {
         let findings = findings.join("; ");
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    interface::AnswerMarks, local_run::admit_waiting, node::RoutedNode, reports::backend_changed,
+    interface::AnswerMetadata, local_run::admit_waiting, node::RoutedNode, reports::backend_changed,
 };
 
 /// Takes in what the answer to a run that began at `began` says of a leaving and a rate limit.
@@ -17,7 +17,7 @@
     node: &RoutedNode,
     call: &CallHead<'_>,
     began: Duration,
-    marks: &AnswerMarks,
+    marks: &AnswerMetadata,
 ) {
     let Some(life) = life_of(node, call) else {
         return;
--- a/crates/kumquatquayd/src/routed/settings.rs
+++ b/crates/kumquatquayd/src/routed/settings.rs
@@ -17,13 +17,13 @@
     /// Where that backend server takes calls.
     pub backend: SocketAddr,
     /// Addresses to listen on.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Control addresses of some other nodes; may be stale.
     pub seeds: Vec<SocketAddr>,
     /// What the node may use of its host.
-    pub limits: Limits,
+    pub limits: ResourceLimits,
     /// Times that others count on.
-    pub bounds: Bounds,
+    pub bounds: TimeBounds,
     /// What may be sent once more.
     pub retry_budget: RetryBudget,
     /// By how much quotas of workspaces may be passed, if at all.
@@ -34,7 +34,7 @@
 
 /// Addresses to listen on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// Calls of callers and of the backend server on this host.
     pub entry: SocketAddr,
     /// Links from other nodes.
@@ -51,7 +51,7 @@
 
 /// What the node may use of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ResourceLimits {
     /// Memory, in bytes.
     pub memory_bytes: usize,
     /// Descriptors that are open at the same time.
@@ -60,7 +60,7 @@
 
 /// Times that others count on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct TimeBounds {
     /// How long a backend server takes calls after its leaving was acknowledged.
     pub drain: Duration,
     /// How long a node may take to stop.
--- a/crates/kumquatquayd/src/routed/start.rs
+++ b/crates/kumquatquayd/src/routed/start.rs
@@ -11,17 +11,19 @@
 use super::{
     first_look::look_for_backend,
     holding::release_held,
-    http_io::{accept_all, listen, serve_connection},
+    http_io::{accept_connections, bind_listener, serve_connection},
     interface::{Dialect, PlatformStore},
     link::watch_links,
     link_server::serve_link,
     local_run::{admit_within_rate_limit, update_level_periodically},
-    members::{carry_out, follow_members, look_for_returned, tick, use_register},
+    members::{
+        follow_members, join_through_register, reintroduce_to_gone_members, run_effects, run_ticks,
+    },
     node::{RoutedNode, StopPhase},
     pipelining::serve_caller,
-    quotas::keep_quotas,
+    quotas::run_quota_loans,
     reports::{serve_metrics, serve_readiness, serve_report},
-    routes_watch::{ask_for_configuration, follow_routes},
+    routes_watch::{fetch_configuration_from_peers, follow_routes},
     settings::RoutedSettings,
 };
 use crate::{clock::incarnation, control, engine::Engine};
@@ -58,7 +60,7 @@
 ) -> eyre::Result<()> {
     let key = MeshKey::from_secret("");
     let control = settings.listen.control;
-    let control_tcp = listen("control", control).await?;
+    let control_tcp = bind_listener("control", control).await?;
     let control_udp = UdpSocket::bind(control).await;
     let control_udp = control_udp.wrap_err_with(|| format!("can't bind {control} for control"))?;
     let (engine, effects) = Engine::new(Node::new(node_settings(&settings, &key)));
@@ -77,19 +79,19 @@
         control_tcp,
         key.clone(),
     ));
-    tasks.spawn(tick(Arc::clone(&engine)));
-    tasks.spawn(carry_out(engine, effects, control_udp, key));
+    tasks.spawn(run_ticks(Arc::clone(&engine)));
+    tasks.spawn(run_effects(engine, effects, control_udp, key));
     tasks.spawn_local(follow_members(Rc::clone(&node)));
     tasks.spawn_local(follow_routes(Rc::clone(&node), store.clone()));
-    tasks.spawn_local(use_register(Rc::clone(&node), store));
-    tasks.spawn_local(look_for_returned(Rc::clone(&node)));
+    tasks.spawn_local(join_through_register(Rc::clone(&node), store));
+    tasks.spawn_local(reintroduce_to_gone_members(Rc::clone(&node)));
     tasks.spawn_local(watch_links(Rc::clone(&node)));
-    tasks.spawn_local(keep_quotas(Rc::clone(&node)));
+    tasks.spawn_local(run_quota_loans(Rc::clone(&node)));
     tasks.spawn_local(update_level_periodically(Rc::clone(&node)));
     tasks.spawn_local(admit_within_rate_limit(Rc::clone(&node)));
     tasks.spawn_local(release_held(Rc::clone(&node)));
     tasks.spawn_local(look_for_backend(Rc::clone(&node)));
-    tasks.spawn_local(ask_for_configuration(Rc::clone(&node)));
+    tasks.spawn_local(fetch_configuration_from_peers(Rc::clone(&node)));
     log_start(&node);
     stop.await;
     leave(&node).await;
@@ -127,42 +129,57 @@
 
 async fn open_listeners(node: &Rc<RoutedNode>) -> eyre::Result<()> {
     let addresses = node.settings.listen;
-    let links = listen("links", addresses.links).await?;
-    let entry = listen("callers", addresses.entry).await?;
-    let ready = listen("readiness", addresses.ready).await?;
-    let reports = listen("reports", addresses.reports).await?;
-    node.tasks
-        .spawn_local(accept_all(Rc::clone(node), links, |node, stream| {
+    let links = bind_listener("links", addresses.links).await?;
+    let entry = bind_listener("callers", addresses.entry).await?;
+    let ready = bind_listener("readiness", addresses.ready).await?;
+    let reports = bind_listener("reports", addresses.reports).await?;
+    node.tasks.spawn_local(accept_connections(
+        Rc::clone(node),
+        links,
+        |node, stream| {
             let tasks = node.tasks.clone();
             tasks.spawn_local(serve_link(node, stream));
-        }));
-    node.tasks
-        .spawn_local(accept_all(Rc::clone(node), entry, |node, stream| {
+        },
+    ));
+    node.tasks.spawn_local(accept_connections(
+        Rc::clone(node),
+        entry,
+        |node, stream| {
             let tasks = node.tasks.clone();
             tasks.spawn_local(serve_caller(node, stream));
-        }));
-    node.tasks
-        .spawn_local(accept_all(Rc::clone(node), ready, |node, stream| {
+        },
+    ));
+    node.tasks.spawn_local(accept_connections(
+        Rc::clone(node),
+        ready,
+        |node, stream| {
             let tasks = node.tasks.clone();
             tasks.spawn_local(serve_connection(node, stream, serve_readiness));
-        }));
-    node.tasks
-        .spawn_local(accept_all(Rc::clone(node), reports, |node, stream| {
+        },
+    ));
+    node.tasks.spawn_local(accept_connections(
+        Rc::clone(node),
+        reports,
+        |node, stream| {
             let tasks = node.tasks.clone();
             tasks.spawn_local(serve_connection(node, stream, serve_report));
-        }));
+        },
+    ));
     if let Some(metrics) = addresses.metrics {
-        serve_metrics_at(node, listen("metrics", metrics).await?);
+        serve_metrics_at(node, bind_listener("metrics", metrics).await?);
     }
     Ok(())
 }
 
 fn serve_metrics_at(node: &Rc<RoutedNode>, listener: TcpListener) {
-    node.tasks
-        .spawn_local(accept_all(Rc::clone(node), listener, |node, stream| {
+    node.tasks.spawn_local(accept_connections(
+        Rc::clone(node),
+        listener,
+        |node, stream| {
             let tasks = node.tasks.clone();
             tasks.spawn_local(serve_connection(node, stream, serve_metrics));
-        }));
+        },
+    ));
 }
 
 /// Leaves: callers are sent elsewhere, then connections close, then the node ends
--- a/crates/kumquatquayd/src/routed/started_request.rs
+++ b/crates/kumquatquayd/src/routed/started_request.rs
@@ -9,7 +9,7 @@
 
 use super::{
     entry::{CallerBody, serve_entry},
-    http_io::{Caller, WholeBody},
+    http_io::{BufferedBody, CallerAddress},
     node::RoutedNode,
 };
 
@@ -26,7 +26,7 @@
 
 /// An answer that waits for its turn.
 pub(crate) struct HeldAnswer {
-    pub(crate) answer: Response<WholeBody>,
+    pub(crate) answer: Response<BufferedBody>,
     _held: HeldBytes,
     _waiting: WaitingBytes,
     pub(crate) in_flight: InFlight,
@@ -66,7 +66,7 @@
 }
 
 impl HeldBytes {
-    pub(crate) fn new(node: &Rc<RoutedNode>, answer: &Response<WholeBody>) -> Self {
+    pub(crate) fn new(node: &Rc<RoutedNode>, answer: &Response<BufferedBody>) -> Self {
         let bytes = size_of(answer);
         let mut held = node.held_answers.get();
         held.add(bytes);
@@ -87,7 +87,7 @@
 }
 
 impl WaitingBytes {
-    fn new(of_connection: Rc<Cell<usize>>, answer: &Response<WholeBody>) -> Self {
+    fn new(of_connection: Rc<Cell<usize>>, answer: &Response<BufferedBody>) -> Self {
         let bytes = size_of(answer);
         of_connection.set(of_connection.get() + bytes);
         Self {
@@ -104,7 +104,7 @@
     }
 }
 
-fn size_of(answer: &Response<WholeBody>) -> usize {
+fn size_of(answer: &Response<BufferedBody>) -> usize {
     answer.body().size_hint().lower() as usize
 }
 
@@ -113,7 +113,7 @@
     /// connection until it is taken.
     pub(crate) fn start(
         node: &Rc<RoutedNode>,
-        caller: Option<Caller>,
+        caller: Option<CallerAddress>,
         request: Request<Bytes>,
         whole_bytes: usize,
         waiting_bytes: Rc<Cell<usize>>,
--- a/crates/kumquatquayd/src/routed/store_return.rs
+++ b/crates/kumquatquayd/src/routed/store_return.rs
@@ -9,7 +9,7 @@
 use kumquatquay_wire::routed::StoreEra;
 use tokio::sync::Notify;
 
-use super::{interface::ToldEras, node::RoutedNode};
+use super::{interface::ObservedEras, node::RoutedNode};
 
 /// Least time between lines on eras that make no sense: a store or a node that tells one tells it
 /// with each answer.
@@ -45,9 +45,9 @@
 
 impl RoutedNode {
     /// Takes in what the answers of the store told of its era.
-    pub(crate) fn see_store_eras(&self, told: ToldEras) {
+    pub(crate) fn see_store_eras(&self, told: ObservedEras) {
         let now = self.now();
-        if told.highest.is_some() || told.has_told_none {
+        if told.highest.is_some() || told.has_answer_without_era {
             let news = self.follower.borrow_mut().era_seen(now, told.highest);
             self.on_era_news(news, told.highest, "store");
         }
@@ -73,7 +73,7 @@
             }
             EraChange::Returned { before } => {
                 let era = era.unwrap_or_default();
-                let now = self.unsuspended();
+                let now = self.boot_time();
                 self.proof.borrow_mut().returned(now, era);
                 self.metrics.count("store_returned", from);
                 log::warn!(event = "store_returned_from_copy", era = era, before = before,
