--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -12,7 +12,7 @@
     caller_identity::IdentityRefusal,
     entry::retry_after,
     forwarding::OutgoingCall,
-    holding::{HoldEnd, hold, line_of},
+    held_requests::{HoldResult, flow_key_of, hold},
     http_io::{BufferedBody, local_answer},
     node::{RoutedNode, StopPhase},
     request_log::log_line,
@@ -25,7 +25,7 @@
 const UNKNOWN_WORK: Duration = Duration::from_millis(50);
 
 /// A request at the entry that may have to wait.
-pub(super) struct Entering<'a> {
+pub(super) struct PendingRequest<'a> {
     pub(super) call: &'a OutgoingCall,
     /// When it was read.
     pub(super) began: Duration,
@@ -36,31 +36,31 @@
 /// What becomes of a request at the entry.
 pub(super) enum Admission {
     /// It is let in.
-    LetIn,
+    Admitted,
     /// It is refused, and has not run.
     Refused(Response<BufferedBody>),
     /// Another configuration came into force while it was held.
-    Reloaded,
+    ConfigurationChanged,
 }
 
 /// A service that is short, and what that means for one who asks for its room.
-pub(super) struct Short {
+pub(super) struct ClaimantShortage {
     pub(super) shortage: Shortage,
     /// Share of the requests of the same claimant that are let in.
-    pub(super) own_chance: f64,
+    pub(super) admission_probability: f64,
 }
 
-impl Short {
+impl ClaimantShortage {
     /// Takes in that one of a line asks for room at the service that is short.
     fn of(node: &RoutedNode, line: &FlowKey, shortage: Shortage) -> Self {
-        let own_chance = if node.is_on(Mechanism::FairShares) {
+        let admission_probability = if node.is_on(Mechanism::FairShares) {
             ask_for_share(node, line, &shortage)
         } else {
             shortage.chance
         };
         Self {
             shortage,
-            own_chance,
+            admission_probability,
         }
     }
 }
@@ -83,7 +83,7 @@
     shares.ask(now, &group, &line.claimant, work_s, shortage.chance)
 }
 
-impl Entering<'_> {
+impl PendingRequest<'_> {
     /// Moment until which its answer is worth most.
     pub(super) fn due(&self) -> Duration {
         let due = self.began + self.call.route.settings.target_latency;
@@ -92,55 +92,55 @@
 }
 
 /// Lets a request in, if need be after it was held, or refuses it.
-pub(super) async fn admit(node: &Rc<RoutedNode>, entering: &Entering<'_>) -> Admission {
-    let Err(shortage) = offer(node, entering) else {
-        return Admission::LetIn;
+pub(super) async fn admit(node: &Rc<RoutedNode>, pending: &PendingRequest<'_>) -> Admission {
+    let Err(shortage) = offer(node, pending) else {
+        return Admission::Admitted;
     };
     if !decides_by_chance(node) {
-        let own_chance = shortage.chance;
-        let short = Short {
+        let admission_probability = shortage.chance;
+        let short = ClaimantShortage {
             shortage,
-            own_chance,
+            admission_probability,
         };
-        return Admission::Refused(refuse(node, entering, &short, None));
+        return Admission::Refused(refuse(node, pending, &short, None));
     }
-    let line = line_of(entering.call);
-    let short = Short::of(node, &line, shortage);
+    let line = flow_key_of(pending.call);
+    let short = ClaimantShortage::of(node, &line, shortage);
     if may_hold(node) {
-        return hold_or_refuse(node, entering, &line, &short).await;
+        return hold_or_refuse(node, pending, &line, &short).await;
     }
-    if node.random.borrow_mut().random::<f64>() < short.own_chance {
-        return Admission::LetIn;
+    if node.random.borrow_mut().random::<f64>() < short.admission_probability {
+        return Admission::Admitted;
     }
-    Admission::Refused(refuse(node, entering, &short, None))
+    Admission::Refused(refuse(node, pending, &short, None))
 }
 
 async fn hold_or_refuse(
     node: &RoutedNode,
-    entering: &Entering<'_>,
+    pending: &PendingRequest<'_>,
     line: &FlowKey,
-    short: &Short,
+    short: &ClaimantShortage,
 ) -> Admission {
-    match hold(node, entering, line, short).await {
-        HoldEnd::LetIn => check_again(node, entering),
-        HoldEnd::NoRoom { room_in } => Admission::Refused(refuse(node, entering, short, room_in)),
-        HoldEnd::Stopping => Admission::Refused(refuse_stopping(node, entering.call)),
-        HoldEnd::Reloaded => Admission::Reloaded,
+    match hold(node, pending, line, short).await {
+        HoldResult::Admitted => check_again(node, pending),
+        HoldResult::NoRoom { room_in } => Admission::Refused(refuse(node, pending, short, room_in)),
+        HoldResult::Stopping => Admission::Refused(refuse_stopping(node, pending.call)),
+        HoldResult::ConfigurationChanged => Admission::ConfigurationChanged,
     }
 }
 
 /// Whether a request that may have been held is still allowed.
-fn check_again(node: &RoutedNode, entering: &Entering<'_>) -> Admission {
-    let call = entering.call;
+fn check_again(node: &RoutedNode, pending: &PendingRequest<'_>) -> Admission {
+    let call = pending.call;
     if call.version != node.route_version() {
-        return Admission::Reloaded;
+        return Admission::ConfigurationChanged;
     }
     if call.workspace.is_some() && node.lacks_valid_proof() {
         let refusal = IdentityRefusal::NoProof;
         node.metrics.count("refused", refusal.name());
-        return Admission::Refused(refuse_for_now(node, call, refusal.text()));
+        return Admission::Refused(refuse_temporarily(node, call, refusal.text()));
     }
-    Admission::LetIn
+    Admission::Admitted
 }
 
 fn may_hold(node: &RoutedNode) -> bool {
@@ -153,12 +153,12 @@
 }
 
 /// Offers a request by its rank; a call of a backend server is part of one that was let in.
-fn offer(node: &RoutedNode, entering: &Entering<'_>) -> Result<(), Shortage> {
-    let call = entering.call;
+fn offer(node: &RoutedNode, pending: &PendingRequest<'_>) -> Result<(), Shortage> {
+    let call = pending.call;
     let route = &call.route.settings.name;
     let is_from_outside = node.levels.borrow().is_from_outside(node.now(), route);
     if is_from_outside == Some(false) {
-        note_call(node, entering);
+        note_call(node, pending);
         return Ok(());
     }
     if !node.is_on(Mechanism::EntryLevels) {
@@ -187,7 +187,7 @@
 }
 
 /// Offers a request of a line anew and tells the chance that it has.
-pub(super) fn offer_anew(node: &RoutedNode, line: &FlowKey) -> f64 {
+pub(super) fn admission_probability(node: &RoutedNode, line: &FlowKey) -> f64 {
     let request = EntryRequest {
         route: &line.route,
         service: &line.service,
@@ -196,17 +196,17 @@
     };
     match offer_request(node, &request) {
         Ok(()) => 1.0,
-        Err(shortage) => Short::of(node, line, shortage).own_chance,
+        Err(shortage) => ClaimantShortage::of(node, line, shortage).admission_probability,
     }
 }
 
 /// A call that a backend server made is put to the run that made it.
-fn note_call(node: &RoutedNode, entering: &Entering<'_>) {
+fn note_call(node: &RoutedNode, pending: &PendingRequest<'_>) {
     let now = node.now();
-    let call = entering.call;
+    let call = pending.call;
     let route = &call.route.settings.name;
     node.graph.borrow_mut().called(now, route);
-    let Some(expires) = entering.expires else {
+    let Some(expires) = pending.expires else {
         return;
     };
     let whole_priority = node.tracer.borrow_mut().called(route, expires);
@@ -217,14 +217,14 @@
 
 fn refuse(
     node: &RoutedNode,
-    entering: &Entering<'_>,
-    short: &Short,
+    pending: &PendingRequest<'_>,
+    short: &ClaimantShortage,
     room_in: Option<Duration>,
 ) -> Response<BufferedBody> {
     let now = node.now();
-    let Short {
+    let ClaimantShortage {
         shortage,
-        own_chance,
+        admission_probability,
     } = short;
     let short_for = if node.is_on(Mechanism::GrowingRetryAfter) {
         shortage.lasts
@@ -232,27 +232,27 @@
         Duration::ZERO
     };
     let returns = RetryAfter {
-        target_latency: entering.call.route.settings.target_latency,
-        time_left: entering.expires.map(|expires| expires.saturating_sub(now)),
+        target_latency: pending.call.route.settings.target_latency,
+        time_left: pending.expires.map(|expires| expires.saturating_sub(now)),
         short_for,
         room_in,
     };
     let wait = returns.draw(&mut *node.random.borrow_mut());
     node.metrics.count("refused", "shortage");
-    if *own_chance < shortage.chance {
+    if *admission_probability < shortage.chance {
         node.metrics.count("refused_by_share", "asked_for_more");
     }
     if node.metrics.take_log_permit(now) {
         let why = format!(
             "{} has room for {:.2} of the offered load, told {} ms ago, short for {} ms; \
-             {:.2} of this rank are let in, {own_chance:.2} of this workspace's",
+             {:.2} of this rank are let in, {admission_probability:.2} of this workspace's",
             shortage.service,
             shortage.level,
             shortage.age.as_millis(),
             shortage.lasts.as_millis(),
             shortage.chance
         );
-        log_line(node, entering.call, "refused", &why, None, entering.began);
+        log_line(node, pending.call, "refused", &why, None, pending.began);
     }
     local_answer(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -263,11 +263,11 @@
 
 fn refuse_stopping(node: &RoutedNode, call: &OutgoingCall) -> Response<BufferedBody> {
     node.metrics.count("refused", "stopping");
-    refuse_for_now(node, call, "this node stops\n")
+    refuse_temporarily(node, call, "this node stops\n")
 }
 
 /// Answers a request that has not run and may come back.
-pub(super) fn refuse_for_now(
+pub(super) fn refuse_temporarily(
     node: &RoutedNode,
     call: &OutgoingCall,
     text: &'static str,
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -37,7 +37,7 @@
     /// No workspace holds the key.
     UnknownKey,
     /// Whether any workspace holds the key isn't known.
-    UnsureKey,
+    UnverifiedKey,
     /// The key may have been taken away.
     NoProof,
 }
@@ -50,7 +50,7 @@
             Self::NoRoute => "no_route",
             Self::NoKey => "no_key",
             Self::UnknownKey => "unknown_key",
-            Self::UnsureKey => "unsure_key",
+            Self::UnverifiedKey => "unsure_key",
             Self::NoProof => "no_proof",
         }
     }
@@ -59,7 +59,7 @@
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey | Self::UnknownKey => StatusCode::UNAUTHORIZED,
-            Self::NoConfiguration | Self::UnsureKey | Self::NoProof => {
+            Self::NoConfiguration | Self::UnverifiedKey | Self::NoProof => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
         }
@@ -72,7 +72,7 @@
             Self::NoRoute => "no route\n",
             Self::NoKey => "this route asks for a key\n",
             Self::UnknownKey => "this key is not known\n",
-            Self::UnsureKey => "whether this key is known is not known yet\n",
+            Self::UnverifiedKey => "whether this key is known is not known yet\n",
             Self::NoProof => "this node can't tell whether the key is still good\n",
         }
     }
@@ -88,11 +88,11 @@
     key: PresentedKey,
 ) -> Result<Identified, IdentityRefusal> {
     let read_at = node.boot_time();
-    let found = look_up(node, parts, key);
+    let found = identify_without_waiting(node, parts, key);
     let found = match found {
         Err(IdentityRefusal::UnknownKey) if !is_refused_again(node, key) => {
             wait_for_proof(node, read_at).await?;
-            let found = look_up(node, parts, key);
+            let found = identify_without_waiting(node, parts, key);
             remember_unknown(node, key, &found);
             found?
         }
@@ -106,7 +106,7 @@
     }
     if found.table.version() != node.route_version() {
         // The proof is one of the configuration that came meanwhile.
-        return look_up(node, parts, key);
+        return identify_without_waiting(node, parts, key);
     }
     Ok(found)
 }
@@ -132,7 +132,7 @@
 }
 
 /// Finds out the same by the configuration in force, whether that is the newest or not.
-pub(crate) fn look_up(
+pub(crate) fn identify_without_waiting(
     node: &RoutedNode,
     parts: &Parts,
     key: PresentedKey,
@@ -168,12 +168,12 @@
 /// Waits until the configuration in force is proved to be as new as a moment.
 async fn wait_for_proof(node: &RoutedNode, moment: Duration) -> Result<(), IdentityRefusal> {
     if node.key_waits_count.get() >= KEY_WAITS_LIMIT_COUNT {
-        return Err(IdentityRefusal::UnsureKey);
+        return Err(IdentityRefusal::UnverifiedKey);
     }
     let _waits = Counted::new(&node.key_waits_count);
     node.request_proof();
     let proved = wait_for(node, KEY_PATIENCE, || node.proof_covers(moment)).await;
-    proved.map_err(|_| IdentityRefusal::UnsureKey)
+    proved.map_err(|_| IdentityRefusal::UnverifiedKey)
 }
 
 /// Waits for a proof after which something is true; without time to wait it is looked at once.
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -12,8 +12,8 @@
 };
 
 use super::{
-    admission::{Admission, Entering, admit, refuse_for_now},
-    caller_identity::{Identified, IdentityRefusal, identify, look_up},
+    admission::{Admission, PendingRequest, admit, refuse_temporarily},
+    caller_identity::{Identified, IdentityRefusal, identify, identify_without_waiting},
     forwarding::{OutgoingCall, Progress, forward},
     http_io::{
         BufferedBody, CallerAddress, fields_from_headers, headers_from_fields, local_answer,
@@ -88,7 +88,7 @@
         began,
     };
     let call = match enter(node, &request, identified).await {
-        Entered::LetIn(call) => call,
+        Entered::Admitted(call) => call,
         Entered::Refused(refusal) => return refusal,
     };
     // The HTTP library reads on in the buffer in which its fields lie.
@@ -202,7 +202,7 @@
 
 /// What became of a request that was read.
 enum Entered {
-    LetIn(OutgoingCall),
+    Admitted(OutgoingCall),
     Refused(Response<BufferedBody>),
 }
 
@@ -220,22 +220,22 @@
             return Entered::Refused(local_answer(status, retry, "no destination\n"));
         };
         let time_left = request.marks.time_left;
-        let entering = Entering {
+        let pending = PendingRequest {
             call: &call,
             began: request.began,
             expires: time_left.map(|time_left| request.began + time_left),
         };
-        match admit(node, &entering).await {
-            Admission::LetIn => return Entered::LetIn(call),
+        match admit(node, &pending).await {
+            Admission::Admitted => return Entered::Admitted(call),
             Admission::Refused(refusal) => return Entered::Refused(refusal),
-            Admission::Reloaded => {}
+            Admission::ConfigurationChanged => {}
         }
-        identified = match look_up(node, &request.parts, request.marks.key) {
+        identified = match identify_without_waiting(node, &request.parts, request.marks.key) {
             Ok(identified) => identified,
             Err(refusal) => {
                 // It was allowed when it came. Its caller finds out when it comes back.
                 node.metrics.count("refused", refusal.name());
-                let refusal = refuse_for_now(node, &call, refusal.text());
+                let refusal = refuse_temporarily(node, &call, refusal.text());
                 return Entered::Refused(refusal);
             }
         };
--- a/crates/kumquatquayd/src/routed/holding.rs
+++ b/crates/kumquatquayd/src/routed/held_requests.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 
 use super::{
-    admission::{Entering, Short, offer_anew},
+    admission::{ClaimantShortage, PendingRequest, admission_probability},
     forwarding::OutgoingCall,
     node::{RoutedNode, StopPhase},
 };
@@ -22,16 +22,16 @@
 const HELD_LEAST_BYTES: usize = 1_024;
 
 /// Tells a held request why it is held no longer.
-type HoldTicket = oneshot::Sender<HoldEnd>;
+type HoldTicket = oneshot::Sender<HoldResult>;
 
 /// Requests that this node holds.
 pub(super) type HeldRequests = EntryQueue<HoldTicket>;
 
 /// Why a request is held no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum HoldEnd {
+pub(super) enum HoldResult {
     /// It is let in.
-    LetIn,
+    Admitted,
     /// There is no room, and none is expected in time.
     NoRoom {
         /// Time after which there should be room to hold it, if that is known.
@@ -40,30 +40,30 @@
     /// The node stops.
     Stopping,
     /// Another configuration came into force.
-    Reloaded,
+    ConfigurationChanged,
 }
 
-impl HoldEnd {
+impl HoldResult {
     /// What counters and log lines call it.
     fn name(self) -> &'static str {
         match self {
-            Self::LetIn => "let_in",
+            Self::Admitted => "let_in",
             Self::NoRoom { .. } => "no_room",
             Self::Stopping => "stopping",
-            Self::Reloaded => "reloaded",
+            Self::ConfigurationChanged => "reloaded",
         }
     }
 }
 
 /// A place among held requests, which is left when its caller leaves.
-struct HeldPlace<'a> {
+struct HeldGuard<'a> {
     node: &'a RoutedNode,
     key: HoldKey,
     /// Whether the request was told why it is held no longer.
     has_ended: bool,
 }
 
-impl Drop for HeldPlace<'_> {
+impl Drop for HeldGuard<'_> {
     fn drop(&mut self) {
         if self.has_ended {
             return;
@@ -75,7 +75,7 @@
 }
 
 /// The line in which a request waits.
-pub(super) fn line_of(call: &OutgoingCall) -> FlowKey {
+pub(super) fn flow_key_of(call: &OutgoingCall) -> FlowKey {
     let route = &call.route.settings.name;
     let workspace = call.workspace.as_ref();
     FlowKey {
@@ -89,15 +89,15 @@
 /// Lets a request in, holds it until something comes of it, or refuses it.
 pub(super) async fn hold(
     node: &RoutedNode,
-    entering: &Entering<'_>,
+    pending: &PendingRequest<'_>,
     line: &FlowKey,
-    short: &Short,
-) -> HoldEnd {
+    short: &ClaimantShortage,
+) -> HoldResult {
     let request = HoldRequest {
         line,
-        chance: short.own_chance,
-        due: entering.due(),
-        held_bytes: held_bytes(entering.call),
+        chance: short.admission_probability,
+        due: pending.due(),
+        held_bytes: held_bytes(pending.call),
     };
     let (ticket, released) = oneshot::channel();
     let began = node.now();
@@ -107,20 +107,20 @@
         held.offer(began, &request, ticket, &mut *random)
     };
     let key = match offer {
-        HoldDecision::Admitted => return HoldEnd::LetIn,
-        HoldDecision::Refused { room_in } => return HoldEnd::NoRoom { room_in },
+        HoldDecision::Admitted => return HoldResult::Admitted,
+        HoldDecision::Refused { room_in } => return HoldResult::NoRoom { room_in },
         HoldDecision::Held(key) => key,
     };
     node.request_held.notify_one();
-    let mut place = HeldPlace {
+    let mut place = HeldGuard {
         node,
         key,
         has_ended: false,
     };
     // The task that lets requests in ends with the node only.
-    let end = released.await.unwrap_or(HoldEnd::Stopping);
+    let end = released.await.unwrap_or(HoldResult::Stopping);
     place.has_ended = true;
-    note_end(node, entering, &short.shortage, began, end);
+    note_end(node, pending, &short.shortage, began, end);
     end
 }
 
@@ -131,17 +131,17 @@
 
 fn note_end(
     node: &RoutedNode,
-    entering: &Entering<'_>,
+    pending: &PendingRequest<'_>,
     shortage: &Shortage,
     began: Duration,
-    end: HoldEnd,
+    end: HoldResult,
 ) {
     let now = node.now();
     node.metrics.count("held", end.name());
     if !node.metrics.take_log_permit(now) {
         return;
     }
-    let call = entering.call;
+    let call = pending.call;
     let workspace = call.workspace.as_ref();
     log::info!(
         event = "request_held",
@@ -152,7 +152,7 @@
         short_service = shortage.service.as_str(),
         level = shortage.level,
         held_ms = now.saturating_sub(began).as_millis() as u64,
-        left_ms = entering.due().saturating_sub(now).as_millis() as u64,
+        left_ms = pending.due().saturating_sub(now).as_millis() as u64,
         outcome = end.name();
         "a request is held no longer"
     );
@@ -169,16 +169,16 @@
         tokio::time::sleep(RELEASE_INTERVAL).await;
         let in_force = node.route_version();
         if node.stop_phase() > StopPhase::Serving {
-            send_all_back(&node, HoldEnd::Stopping);
+            send_all_back(&node, HoldResult::Stopping);
         } else if std::mem::replace(&mut version, in_force) != in_force {
-            send_all_back(&node, HoldEnd::Reloaded);
+            send_all_back(&node, HoldResult::ConfigurationChanged);
         } else {
             release(&node);
         }
     }
 }
 
-fn send_all_back(node: &RoutedNode, end: HoldEnd) {
+fn send_all_back(node: &RoutedNode, end: HoldResult) {
     let tickets = node.held_requests.borrow_mut().take_all();
     for ticket in tickets {
         // Nobody waits for it if the caller has left in this moment.
@@ -190,11 +190,11 @@
     let released = node
         .held_requests
         .borrow_mut()
-        .release(node.now(), |line| offer_anew(node, line));
+        .release(node.now(), |line| admission_probability(node, line));
     for ReleasedRequest { ticket, outcome } in released {
         let end = match outcome {
-            ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => HoldEnd::LetIn,
-            ReleaseReason::NoRoom { room_in } => HoldEnd::NoRoom { room_in },
+            ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => HoldResult::Admitted,
+            ReleaseReason::NoRoom { room_in } => HoldResult::NoRoom { room_in },
         };
         if outcome == ReleaseReason::WaitExhausted {
             node.metrics.count("held", "due");
--- a/crates/kumquatquayd/src/routed/mod.rs
+++ b/crates/kumquatquayd/src/routed/mod.rs
@@ -20,7 +20,7 @@
 mod entry;
 mod first_look;
 mod forwarding;
-mod holding;
+mod held_requests;
 mod http_io;
 mod interface;
 mod learnt_log;
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -24,7 +24,7 @@
 
 use super::{
     backend_pool::BackendPool,
-    holding::HeldRequests,
+    held_requests::HeldRequests,
     interface::Dialect,
     learnt_log::LearntLog,
     link::Links,
--- a/crates/kumquatquayd/src/routed/start.rs
+++ b/crates/kumquatquayd/src/routed/start.rs
@@ -10,7 +10,7 @@
 
 use super::{
     first_look::look_for_backend,
-    holding::release_held,
+    held_requests::release_held,
     http_io::{accept_connections, bind_listener, serve_connection},
     interface::{Dialect, PlatformStore},
     link::watch_links,
