--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -1,9 +1,9 @@
-//! Whole requests of eight calls while one backend server of eight fails each run.
+//! Requests of eight calls while one backend server of eight fails each run, in simulated time.
 //!
-//! What callers see: the service has room, and a third of their requests, or fewer, is served. One
-//! server fails each run within a millisecond and says that it is well; it is always empty and
-//! looks fast, so it draws calls, and a request is lost with any of its eight. What helps: its
-//! node tells that it fails, callers leave it nearly alone, and what it failed runs elsewhere.
+//! The service has room, yet a third of the requests or fewer succeed: the server fails each run
+//! within a millisecond while it reports that it is healthy. It is always idle and looks fast, so
+//! it attracts calls, and a request fails with any of its eight calls. To prevent that, its node
+//! reports the share of failed runs, callers eject it, and failed calls are retried elsewhere.
 
 use std::{
     cmp::Reverse,
@@ -25,14 +25,14 @@
 const WORK_MS: u64 = 44;
 const FAILING_WORK_MS: u64 = 1;
 
-/// Share of what the seven sound servers can run that is offered.
+/// Offered load, as a share of what the seven healthy servers can run.
 const OFFERED_RATIO: f64 = 0.8;
 
-/// When the first server begins to fail, and for how long it is watched.
+/// When the first server begins to fail, and for how long results are counted from then on.
 const FAILS_AT_MS: u64 = 3_000;
-const WATCHED_MS: u64 = 8_000;
+const MEASURED_MS: u64 = 8_000;
 
-/// Share of whole requests that is to be served of those that the sound servers can run.
+/// Share of the requests that must be answered.
 const GOAL_RATIO: f64 = 0.85;
 
 fn address(server: usize) -> SocketAddr {
@@ -41,17 +41,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A request comes in at a caller.
+    /// A request arrives at a caller.
     Request,
-    /// A server has ended a call.
+    /// A call has ended at a server.
     Ended { server: usize, call: Call },
 }
 
-/// A call of a request; `done_count` calls were answered before it.
+/// A call of a request, of which `done_count` calls were answered before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Call {
     caller: usize,
-    came: Duration,
+    arrived: Duration,
     done_count: u32,
     attempts_count: u32,
 }
@@ -63,17 +63,17 @@
     failures: RunFailures,
 }
 
-struct Mesh {
+struct Simulation {
     servers: Vec<Server>,
     callers: Vec<(LoadBalancer, RetryBudget)>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
     random: StdRng,
-    came_count: u32,
+    arrived_count: u32,
     served_count: u32,
 }
 
-impl Mesh {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let members: Vec<MemberRecord> = (0..SERVERS_COUNT).map(member).collect();
         let callers = (0..CALLERS_COUNT).map(|_| {
@@ -88,14 +88,14 @@
             events: BinaryHeap::new(),
             sequence: 0,
             random: StdRng::seed_from_u64(seed),
-            came_count: 0,
+            arrived_count: 0,
             served_count: 0,
         }
     }
 
     fn run(&mut self) {
         self.at(Duration::ZERO, Event::Request);
-        let until = at_ms(FAILS_AT_MS + WATCHED_MS);
+        let until = at_ms(FAILS_AT_MS + MEASURED_MS);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= until {
                 return;
@@ -119,24 +119,24 @@
         let next = now + Duration::from_secs_f64(-uniform.ln() / requests_per_s);
         self.at(next, Event::Request);
         if now >= at_ms(FAILS_AT_MS) {
-            self.came_count += 1;
+            self.arrived_count += 1;
         }
         let call = Call {
             caller: self.random.random_range(0..CALLERS_COUNT),
-            came: now,
+            arrived: now,
             done_count: 0,
             attempts_count: 0,
         };
         self.send(now, call, &[]);
     }
 
-    fn send(&mut self, now: Duration, mut call: Call, asked: &[SocketAddr]) {
+    fn send(&mut self, now: Duration, mut call: Call, excluded: &[SocketAddr]) {
         call.attempts_count += 1;
         let (table, budget) = &mut self.callers[call.caller];
         if call.attempts_count == 1 {
             budget.on_requests(now, 1.0);
         }
-        let choice = table.choose(now, "register", asked, true, &mut self.random);
+        let choice = table.choose(now, "register", excluded, true, &mut self.random);
         let chosen = choice.unwrap().control;
         let server = (0..SERVERS_COUNT).find(|server| address(*server) == chosen);
         let server = server.unwrap();
@@ -169,7 +169,7 @@
             };
             if next.done_count < CALLS_COUNT {
                 self.send(now, next, &[]);
-            } else if call.came >= at_ms(FAILS_AT_MS) {
+            } else if call.arrived >= at_ms(FAILS_AT_MS) {
                 self.served_count += 1;
             }
         } else if call.attempts_count < 2
@@ -217,11 +217,11 @@
 }
 
 #[test]
-fn whole_requests_go_on_beside_a_server_that_fails_each_run() {
+fn requests_succeed_while_one_server_fails_each_run() {
     for seed in 0..5 {
-        let mut mesh = Mesh::new(seed);
-        mesh.run();
-        let served_ratio = f64::from(mesh.served_count) / f64::from(mesh.came_count);
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        let served_ratio = f64::from(simulation.served_count) / f64::from(simulation.arrived_count);
         assert!(served_ratio >= GOAL_RATIO, "seed {seed}: {served_ratio}");
     }
 }
--- a/crates/kumquatquay-core/tests/routed/fair_shares.rs
+++ b/crates/kumquatquay-core/tests/routed/fair_shares.rs
@@ -1,4 +1,4 @@
-//! Who gets the room that there is for one rank.
+//! How the room for requests of one priority is shared among workspaces.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn who_asks_for_less_than_its_share_gets_all() {
+fn a_workspace_below_its_share_is_always_admitted() {
     let mut shares = FairShares::default();
     for _ in 0..90 {
         shares.ask(at_ms(0), &group(), "hot", 1.0, 0.5);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn who_is_alone_has_the_chance_of_all() {
+fn the_only_workspace_has_the_common_chance() {
     let mut shares = FairShares::default();
     for _ in 0..200 {
         shares.ask(at_ms(0), &group(), "only", 1.0, 0.3);
@@ -39,15 +39,16 @@
 }
 
 #[test]
-fn without_room_nobody_has_a_chance() {
+fn without_room_no_workspace_has_a_chance() {
     let mut shares = FairShares::default();
     for claimant in ["a", "b", "a"] {
         assert_eq!(shares.ask(at_ms(0), &group(), claimant, 1.0, 0.0), 0.0);
     }
 }
 
+/// Claimants and groups beyond those that are remembered also get a valid chance.
 #[test]
-fn any_number_of_claimants_takes_bounded_memory() {
+fn any_number_of_claimants_gets_a_valid_chance() {
     let mut shares = FairShares::default();
     for claimant in 0..5_000 {
         let name = format!("w{claimant}");
@@ -63,14 +64,15 @@
     }
 }
 
-/// How entries choose whom to let in.
+/// How entries choose which requests to admit.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Policy {
+    /// All with the same chance.
     Chance,
-    /// By what each entry has seen itself.
+    /// By fair shares of what each entry has seen itself.
     Shares,
-    /// By what all have seen together, which none of them can know.
-    Known,
+    /// By fair shares of what all entries have seen, which no real entry knows.
+    GlobalShares,
 }
 
 const ENTRIES: usize = 79;
@@ -78,87 +80,90 @@
 const HOT: usize = 3;
 const PER_S: f64 = 1_000.0;
 
-/// Parts of the requests of the calm and of the hot workspaces that are refused.
+/// Refused shares of the requests of calm and of hot workspaces.
 #[derive(Debug)]
-struct Lost {
+struct RefusedShares {
     calm: f64,
     hot: f64,
-    /// Let in, over the room there was.
+    /// Admitted requests over those that there was room for.
     used: f64,
 }
 
-/// Eighty workspaces of unlike size send as always, three send `times` as much, and there is
-/// room for what all send usually. Each workspace sends to `spread` entries. The chance follows what
-/// was let in half a second ago.
-fn play(way: Way, seed: u64, times: f64, spread: usize) -> Lost {
+/// Simulates 82 workspaces of different sizes, up to three of which are hot and send `times` times
+/// what they usually do. There is room for what all usually send. Each workspace sends to `spread`
+/// entries. The chance follows the admitted load with a delay of half a second.
+fn simulate(policy: Policy, seed: u64, times: f64, spread: usize) -> RefusedShares {
     let mut random = StdRng::seed_from_u64(seed);
     let mut entries: Vec<_> = (0..ENTRIES).map(|_| FairShares::default()).collect();
     let sizes: Vec<f64> = (0..WORKSPACES)
-        .map(|place| 1.0 / (place as f64 + 10.0))
+        .map(|index| 1.0 / (index as f64 + 10.0))
         .collect();
-    let whole: f64 = sizes.iter().sum();
+    let total: f64 = sizes.iter().sum();
     let hot: Vec<usize> = (0..HOT).map(|_| random.random_range(0..20)).collect();
     let mut chances = VecDeque::from(vec![1.0; 5]);
     let (mut asked, mut refused) = ([0.0; 2], [0.0; 2]);
-    let (mut let_in, mut load) = (0.0, 1.0);
-    for span in 0..200_u32 {
-        let now = Duration::from_millis(100) * span;
+    let (mut admitted, mut load) = (0.0, 1.0);
+    for step in 0..200_u32 {
+        let now = Duration::from_millis(100) * step;
         let chance = chances.pop_front().unwrap();
-        let let_in_before = let_in;
+        let admitted_before = admitted;
         for (workspace, size) in sizes.iter().enumerate() {
             let is_hot = hot.contains(&workspace);
             let times = if is_hot { times } else { 1.0 };
-            let mean = PER_S / 10.0 * size / whole * times;
+            let mean = PER_S / 10.0 * size / total * times;
             let sent = (mean + random.random::<f64>()) as u32;
             for _ in 0..sent {
                 let entry = (workspace * 31 + random.random_range(0..spread)) % ENTRIES;
                 let name = format!("w{workspace}");
-                let own = match way {
-                    Way::Chance => chance,
-                    Way::Shares | Way::Known if chance >= 1.0 => 1.0,
-                    Way::Known => entries[0].ask(now, &group(), &name, 1.0, chance),
-                    Way::Shares => entries[entry].ask(now, &group(), &name, 1.0, chance),
+                let own = match policy {
+                    Policy::Chance => chance,
+                    Policy::Shares | Policy::GlobalShares if chance >= 1.0 => 1.0,
+                    Policy::GlobalShares => entries[0].ask(now, &group(), &name, 1.0, chance),
+                    Policy::Shares => entries[entry].ask(now, &group(), &name, 1.0, chance),
                 };
                 let is_refused = random.random::<f64>() >= own;
-                let_in += f64::from(u8::from(!is_refused));
+                admitted += f64::from(u8::from(!is_refused));
                 asked[usize::from(is_hot)] += 1.0;
                 refused[usize::from(is_hot)] += f64::from(u8::from(is_refused));
             }
         }
-        load += 0.4 * ((let_in - let_in_before) / (PER_S / 10.0) - load);
+        load += 0.4 * ((admitted - admitted_before) / (PER_S / 10.0) - load);
         let newest = *chances.back().unwrap_or(&chance);
         let wanted: f64 = chance / load.max(0.1);
         chances.push_back((newest + 0.2 * (wanted.min(1.0) - newest)).min(1.0));
     }
-    Lost {
+    RefusedShares {
         calm: refused[0] / asked[0],
         hot: refused[1] / asked[1],
-        used: let_in / (200.0 * PER_S / 10.0),
+        used: admitted / (200.0 * PER_S / 10.0),
     }
 }
 
-/// Three workspaces send 4.5 and 7.5 times what they usually do.
+/// Three workspaces send 4.5 or 7.5 times what they usually do. Refused by chance, the others would
+/// lose as large a share of their requests as these. By fair shares they lose half of that at the
+/// most, and the room is used as much.
 #[test]
-fn calm_workspaces_lose_little_to_hot_ones() {
+fn hot_workspaces_cost_calm_ones_little() {
     for seed in 1..=3 {
         for times in [4.5, 7.5] {
-            let by_chance = play(Way::Chance, seed, times, ENTRIES);
-            let shared = play(Way::Shares, seed, times, ENTRIES);
-            let known = play(Way::Known, seed, times, ENTRIES);
-            assert!(known.calm <= shared.calm);
-            assert!(shared.calm <= 0.5 * by_chance.calm);
-            assert!(shared.hot <= 0.8);
-            assert!((shared.used - by_chance.used).abs() <= 0.02);
+            let by_chance = simulate(Policy::Chance, seed, times, ENTRIES);
+            let by_shares = simulate(Policy::Shares, seed, times, ENTRIES);
+            let by_global_shares = simulate(Policy::GlobalShares, seed, times, ENTRIES);
+            assert!(by_global_shares.calm <= by_shares.calm);
+            assert!(by_shares.calm <= 0.5 * by_chance.calm);
+            assert!(by_shares.hot <= 0.8);
+            assert!((by_shares.used - by_chance.used).abs() <= 0.02);
         }
     }
 }
 
-/// An entry that sees few workspaces can't tell who is hot elsewhere.
+/// Each workspace sends to three entries only, so an entry sees few workspaces and doesn't know
+/// what they send to others. Calm workspaces must not lose more than by chance all the same.
 #[test]
-fn with_callers_at_few_entries_the_calm_lose_no_more_than_by_chance() {
+fn with_few_entries_per_workspace_calm_ones_lose_no_more_than_by_chance() {
     for seed in 1..=3 {
-        let by_chance = play(Way::Chance, seed, 7.5, 3);
-        let shared = play(Way::Shares, seed, 7.5, 3);
-        assert!(shared.calm <= by_chance.calm);
+        let by_chance = simulate(Policy::Chance, seed, 7.5, 3);
+        let by_shares = simulate(Policy::Shares, seed, 7.5, 3);
+        assert!(by_shares.calm <= by_chance.calm);
     }
 }
--- a/crates/kumquatquay-core/tests/routed/gate_repeats.rs
+++ b/crates/kumquatquay-core/tests/routed/gate_repeats.rs
@@ -1,4 +1,4 @@
-//! Calls that a backend server turns away though it has slots.
+//! Retries at a gate of calls that the backend server rejects although it has idle slots.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const RATIO: f64 = 0.06;
 
-fn repeats() -> GateRetries {
+fn retries() -> GateRetries {
     GateRetries::new(RetryBudget::new(WINDOW, RATIO, 0.0))
 }
 
-/// What became of the calls of one kind.
+/// What became of the calls from outside or of those from runs.
 #[derive(Default)]
 struct Counts {
     calls: u32,
     served: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 impl Counts {
@@ -29,20 +29,20 @@
     }
 }
 
-/// Hands a call over until it is served or given up.
+/// Hands a call over until it is served or no further retry is allowed.
 fn hand_over(
-    repeats: &mut GateRetries,
+    retries: &mut GateRetries,
     at: u64,
     is_from_outside: bool,
-    turns_away: &mut impl FnMut() -> bool,
+    rejects: &mut impl FnMut() -> bool,
     counts: &mut Counts,
 ) {
     counts.calls += 1;
-    repeats.on_call(at_ms(at));
+    retries.on_call(at_ms(at));
     for hand_overs_count in 1.. {
-        let is_turned_away = turns_away();
-        repeats.on_result(is_turned_away);
-        if !is_turned_away {
+        let is_rejected = rejects();
+        retries.on_result(is_rejected);
+        if !is_rejected {
             counts.served += 1;
             return;
         }
@@ -50,65 +50,64 @@
             is_from_outside,
             hand_overs_count,
         };
-        if !repeats.take(at_ms(at), call) {
+        if !retries.take(at_ms(at), call) {
             return;
         }
-        counts.repeats += 1;
+        counts.retries += 1;
     }
 }
 
-/// For ten seconds all is well: 21 calls of runs for each look-up of a person. Then
-/// the servers of the service turn 55 of 100 calls away, for eight seconds. Runs of
-/// eight calls are lost whatever is repeated, and spend the budget within the first
-/// moment. A look-up is one call: with the budget kept for those nearly all are
-/// served.
+/// For ten seconds no call is rejected, with 20 calls made by runs for each lookup of a person.
+/// Then the backend servers reject 55 % of all calls for eight seconds. Runs of eight calls would
+/// fail however often their calls are retried, and would use up the retry budget at once. A lookup
+/// is a single call: with the budget reserved for those, nearly all are served.
 #[test]
-fn what_needs_one_call_is_served_while_a_service_sheds() {
-    let mut repeats = repeats();
+fn single_calls_are_served_while_a_service_sheds() {
+    let mut retries = retries();
     let mut random = StdRng::seed_from_u64(1);
     let (mut outside, mut inner) = (Counts::default(), Counts::default());
     for at in 0..18_000 {
         let is_shedding = at >= 10_000;
-        let mut turns_away = || is_shedding && random.random_bool(0.55);
+        let mut rejects = || is_shedding && random.random_bool(0.55);
         for call in 0..3 {
             let is_from_outside = at % 7 == 0 && call == 0;
-            let mut before = Counts::default();
+            let mut warm_up = Counts::default();
             let counts = match (is_shedding, is_from_outside) {
-                (false, _) => &mut before,
+                (false, _) => &mut warm_up,
                 (true, true) => &mut outside,
                 (true, false) => &mut inner,
             };
-            hand_over(&mut repeats, at, is_from_outside, &mut turns_away, counts);
+            hand_over(&mut retries, at, is_from_outside, &mut rejects, counts);
         }
     }
     assert!(outside.served_ratio() > 0.9, "{}", outside.served_ratio());
     assert!(inner.served_ratio() < 0.5, "{}", inner.served_ratio());
 }
 
-/// One call of fifty is turned away: each run that would lose one of its eight calls
-/// is saved.
+/// One call of fifty is rejected. Calls made by runs are retried then, which saves the runs that
+/// would fail with one of their eight calls.
 #[test]
-fn calls_of_runs_are_repeated_while_few_are_turned_away() {
-    let mut repeats = repeats();
+fn calls_of_runs_are_retried_while_few_are_rejected() {
+    let mut retries = retries();
     let mut random = StdRng::seed_from_u64(2);
     let mut inner = Counts::default();
     for at in 0..10_000 {
-        let mut turns_away = || random.random_bool(0.02);
-        hand_over(&mut repeats, at, false, &mut turns_away, &mut inner);
+        let mut rejects = || random.random_bool(0.02);
+        hand_over(&mut retries, at, false, &mut rejects, &mut inner);
     }
     assert!(inner.served_ratio() > 0.995, "{}", inner.served_ratio());
 }
 
 quickcheck! {
-    /// Whatever is turned away, repeats stay within the budget.
-    fn repeats_stay_within_the_budget(turned_away: Vec<bool>) -> bool {
-        let mut repeats = repeats();
+    /// Whichever calls are rejected, the retries stay within the budget.
+    fn retries_stay_within_the_budget(rejections: Vec<bool>) -> bool {
+        let mut retries = retries();
         let mut counts = Counts::default();
-        let mut turned_away = turned_away.into_iter().cycle();
-        let mut turns_away = || turned_away.next().unwrap_or(true);
+        let mut rejections = rejections.into_iter().cycle();
+        let mut rejects = || rejections.next().unwrap_or(true);
         for at in 0..5_000 {
-            hand_over(&mut repeats, at, at % 2 == 0, &mut turns_away, &mut counts);
+            hand_over(&mut retries, at, at % 2 == 0, &mut rejects, &mut counts);
         }
-        f64::from(counts.repeats) <= RATIO * f64::from(counts.calls)
+        f64::from(counts.retries) <= RATIO * f64::from(counts.calls)
     }
 }
--- a/crates/kumquatquay-core/tests/routed/run_failures.rs
+++ b/crates/kumquatquay-core/tests/routed/run_failures.rs
@@ -1,4 +1,4 @@
-//! Which failures are a backend server's own.
+//! Which failed runs count against the backend server itself.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use crate::at_ms;
 
-/// How long a run takes that loses a call.
+/// Run time of a run that loses a call.
 const RUN_TIME: Duration = Duration::from_millis(50);
 
-/// A backend server fails each run at once. Callers should hear of it before each of them
-/// has lost calls to it: within ten runs.
+/// A backend server fails each run at once. Its reported share of failures must rise within ten
+/// runs, before each caller has lost calls to it.
 #[test]
-fn a_server_that_fails_each_run_is_told_soon() {
+fn the_share_of_failures_rises_within_ten_runs() {
     let mut failures = RunFailures::default();
     for _ in 0..100 {
         failures.ended_well();
@@ -24,10 +24,10 @@
     assert!(failures.ratio() > 0.25, "{}", failures.ratio());
 }
 
-/// The service behind loses one call of eight, and each run that lost one fails. The
-/// server that ran it is sound, and must not be left out for that.
+/// Every second run loses a call that it makes at another service, and fails for that. The server
+/// that ran it is healthy and must not be ejected.
 #[test]
-fn runs_that_lost_a_call_are_not_its_own_failures() {
+fn runs_that_lost_a_call_do_not_count_as_failures() {
     let mut failures = RunFailures::default();
     for run in 0..200 {
         let now = at_ms(run * 10) + RUN_TIME;
@@ -41,19 +41,19 @@
     assert!(failures.ratio() < 0.01, "{}", failures.ratio());
 }
 
-/// A call was lost long ago, and its run has been answered in spite of it. What fails later is
-/// the server's own.
+/// A call was lost long ago, and its run was answered all the same. A later failure counts against
+/// the server.
 #[test]
-fn a_lost_call_excuses_nothing_later() {
+fn a_lost_call_does_not_excuse_a_much_later_failure() {
     let mut failures = RunFailures::default();
     failures.call_lost(at_ms(0));
     failures.failed(at_ms(0), at_ms(5_000));
     assert!(failures.ratio() > 0.0);
 }
 
-/// Callers call a server that fails each run at once, from its own host and one after the other.
-/// The host doesn't know yet that callers use their route, and takes each failed call for one that
-/// a run has lost. Failures must not excuse each other.
+/// Callers on the host of a server that fails each run at once call it, one call after the other.
+/// The host doesn't know yet that outside callers use this route, and takes each failed call for
+/// one that a run has lost. A failure must not excuse the next one.
 #[test]
 fn a_call_lost_before_a_run_began_does_not_excuse_it() {
     let mut failures = RunFailures::default();
@@ -66,9 +66,9 @@
     assert!(failures.ratio() > 0.25, "{}", failures.ratio());
 }
 
-/// The server was replaced; the new one begins with nothing held against it.
+/// The server was replaced: failures of the previous one don't count against the new one.
 #[test]
-fn another_life_begins_with_none() {
+fn another_life_starts_without_failures() {
     let mut failures = RunFailures::default();
     failures.on_life(&BackendLife::untold("old"));
     for run in 0..50 {
@@ -80,14 +80,14 @@
     assert_eq!(failures.ratio(), 0.0);
 }
 
-/// Callers that have learnt that a server fails leave it alone, and its share of failures stays
-/// where it was then. Calls of others that may run once must already be sent elsewhere at that
-/// share: each of them would lose one.
+/// Callers that know that a server fails have ejected it, so its share of failures rises no
+/// further. At that share, calls that must not run twice must already be sent elsewhere: each of
+/// the other callers would lose one.
 #[test]
-fn a_server_that_is_left_alone_takes_no_calls_that_may_run_once() {
+fn an_ejected_server_takes_no_calls_that_must_not_be_repeated() {
     let mut failures = RunFailures::default();
     let mut run = 0;
-    // Callers leave those alone that fail a fifth more than the middle one.
+    // A server is ejected if its share of failures is 0.2 above the median of its service.
     while failures.ratio() < 0.2 {
         failures.failed(at_ms(run), at_ms(run));
         run += 1;
