--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -15,7 +15,7 @@
     held_requests::{HoldResult, flow_key_of, hold},
     http_io::{BufferedBody, local_answer},
     node::{RoutedNode, StopPhase},
-    request_log::log_line,
+    request_log::log_request,
 };
 
 /// Place behind all others of the same rank.
@@ -252,7 +252,7 @@
             shortage.lasts.as_millis(),
             shortage.chance
         );
-        log_line(node, pending.call, "refused", &why, None, pending.began);
+        log_request(node, pending.call, "refused", &why, None, pending.began);
     }
     local_answer(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/kumquatquayd/src/routed/backend_pool.rs
+++ b/crates/kumquatquayd/src/routed/backend_pool.rs
@@ -66,11 +66,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// Nothing listens at its address.
-    NobodyThere,
+    ConnectionRefused,
     /// No connection could be made: it did not see the request.
     Unsent,
     /// The connection broke, or brought what is no answer.
-    Broke,
+    ConnectionBroken,
 }
 
 /// An answer, whole, and the connection that brought it.
@@ -85,7 +85,7 @@
 
 impl BackendAnswer {
     /// Keeps the connection for further requests; the answer's body.
-    pub(crate) fn keep(self, kept_open: Option<Duration>) -> Bytes {
+    pub(crate) fn return_to_pool(self, kept_open: Option<Duration>) -> Bytes {
         let idle = kept_open.map_or(UNTOLD_IDLE, |kept| kept.saturating_sub(IDLE_MARGIN));
         let mut connection = self.connection;
         let mut connections = self.idle.borrow_mut();
@@ -100,7 +100,7 @@
     }
 
     /// Closes the connection.
-    pub(crate) fn discard(self) {
+    pub(crate) fn close_connection(self) {
         drop(self.connection);
     }
 }
@@ -115,7 +115,7 @@
     }
 
     /// Closes idle connections that the backend server is about to close.
-    pub(crate) fn drop_stale(&self) {
+    pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         let is_usable =
             |connection: &Connection| !connection.sender.is_closed() && now < connection.idle_until;
@@ -167,7 +167,7 @@
         let stream = match connect.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                return Err(SendError::NobodyThere);
+                return Err(SendError::ConnectionRefused);
             }
             Ok(Err(_)) | Err(_) => return Err(SendError::Unsent),
         };
@@ -193,13 +193,14 @@
         request: Request<BufferedBody>,
     ) -> Result<BackendAnswer, (SendError, Option<Request<BufferedBody>>)> {
         let answer = connection.sender.try_send_request(request).await;
-        let answer = answer.map_err(|mut error| (SendError::Broke, error.take_message()))?;
+        let answer =
+            answer.map_err(|mut error| (SendError::ConnectionBroken, error.take_message()))?;
         let (head, body) = answer.into_parts();
         // One without end would fill the memory.
         let body = Limited::new(body, self.answer_limit_bytes).collect().await;
         let body = body.map_err(|error| {
             log::debug!(event = "backend_answer_unread"; "{error}");
-            (SendError::Broke, None)
+            (SendError::ConnectionBroken, None)
         })?;
         Ok(BackendAnswer {
             status: head.status.as_u16(),
--- a/crates/kumquatquayd/src/routed/runners.rs
+++ b/crates/kumquatquayd/src/routed/call_workers.rs
@@ -14,18 +14,18 @@
 
 /// The tasks that wait for a call.
 #[derive(Debug, Default)]
-pub(crate) struct Runners {
-    idle: RefCell<Vec<Rc<Runner>>>,
+pub(crate) struct CallWorkers {
+    idle: RefCell<Vec<Rc<CallWorker>>>,
 }
 
 /// One of the tasks.
 #[derive(Debug, Default)]
-struct Runner {
+struct CallWorker {
     next: RefCell<Option<ServedCall>>,
     wake: Notify,
 }
 
-impl Runner {
+impl CallWorker {
     /// The call that it is to run next.
     async fn next(&self) -> ServedCall {
         loop {
@@ -38,8 +38,8 @@
 }
 
 /// Runs a call, in a task that has nothing to do or in a new one.
-pub(super) fn run_call(node: &Rc<RoutedNode>, call: ServedCall) {
-    let idle = node.runners.idle.borrow_mut().pop();
+pub(super) fn run_on_worker(node: &Rc<RoutedNode>, call: ServedCall) {
+    let idle = node.call_workers.idle.borrow_mut().pop();
     let is_new = idle.is_none();
     let runner = idle.unwrap_or_default();
     runner.next.replace(Some(call));
@@ -50,10 +50,10 @@
     }
 }
 
-async fn run_calls(node: Rc<RoutedNode>, runner: Rc<Runner>) {
+async fn run_calls(node: Rc<RoutedNode>, runner: Rc<CallWorker>) {
     loop {
         runner.next().await.run(&node).await;
-        let mut idle = node.runners.idle.borrow_mut();
+        let mut idle = node.call_workers.idle.borrow_mut();
         if idle.len() >= KEPT_COUNT {
             return;
         }
--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -23,7 +23,7 @@
     http_io::{BufferedBody, CallerAddress},
     node::{RoutedNode, StopPhase},
     request_frame::{Framing, RequestFrame, frame_request, has_head_end, read_whole_request},
-    started_request::{HeldBytes, InFlight, StartedRequest},
+    started_request::{HeldBytesGuard, InFlightGuard, StartedRequest},
 };
 
 /// What a connection may have under way behind the request that is answered next.
@@ -51,9 +51,9 @@
     /// Bytes of answers that wait for their turn.
     held_bytes: Rc<Cell<usize>>,
     /// The request that is answered now; it counts until its answer is written.
-    in_flight: RefCell<Option<InFlight>>,
+    in_flight: RefCell<Option<InFlightGuard>>,
     /// The answer that is being written.
-    writing: RefCell<Option<HeldBytes>>,
+    writing: RefCell<Option<HeldBytesGuard>>,
     /// Whether the caller has closed the connection.
     caller_left: Cell<bool>,
 }
@@ -253,7 +253,7 @@
     /// Begins to pass on the request at the start of the bytes, unless its head isn't there.
     fn begin_to_pass(&self, state: &mut RowState) -> bool {
         if let Some(started) = state.row.front() {
-            let whole_bytes = started.whole_bytes;
+            let whole_bytes = started.size_bytes;
             state.started_bytes -= whole_bytes;
             state.phase = Phase::Passing {
                 left_bytes: whole_bytes as u64,
@@ -399,7 +399,7 @@
         let mut decisive = self.row_request(request.headers(), request.uri(), state.frame);
         decisive.ends_row |= !is_small;
         state.row.reach(decisive);
-        *self.in_flight.borrow_mut() = Some(InFlight::new(&self.node));
+        *self.in_flight.borrow_mut() = Some(InFlightGuard::new(&self.node));
         if has_body && is_small {
             Turn::Whole
         } else {
@@ -409,7 +409,7 @@
 
     /// The request that was reached has its answer. Whether the connection ends with it.
     pub(crate) fn answered(&self, answer: &Response<BufferedBody>) -> bool {
-        *self.writing.borrow_mut() = Some(HeldBytes::new(&self.node, answer));
+        *self.writing.borrow_mut() = Some(HeldBytesGuard::new(&self.node, answer));
         let mut state = self.state.borrow_mut();
         state.phase = match state.phase {
             Phase::Answering => Phase::Between,
@@ -460,14 +460,14 @@
         started: StartedRequest,
         request: Request<Bytes>,
     ) -> Result<Response<BufferedBody>, Request<CallerBody>> {
-        match started.answer_to(request).await {
+        match started.answer_if_same(request).await {
             Ok(held) => {
                 *self.in_flight.borrow_mut() = Some(held.in_flight);
                 Ok(held.answer)
             }
             Err(request) => {
                 self.doubt(&mut self.state.borrow_mut());
-                *self.in_flight.borrow_mut() = Some(InFlight::new(&self.node));
+                *self.in_flight.borrow_mut() = Some(InFlightGuard::new(&self.node));
                 Err(request)
             }
         }
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -7,7 +7,7 @@
 use kumquatquay_wire::routed::WorkspaceSettings;
 use tokio::time::error::Elapsed;
 
-use super::{counted::Counted, node::RoutedNode};
+use super::{count_guard::CountGuard, node::RoutedNode};
 
 /// How long a request waits at most until it is known whether its key is; a read of the store
 /// takes some milliseconds, and a quarter of a second where the store is slow.
@@ -170,7 +170,7 @@
     if node.key_waits_count.get() >= KEY_WAITS_LIMIT_COUNT {
         return Err(IdentityRefusal::UnverifiedKey);
     }
-    let _waits = Counted::new(&node.key_waits_count);
+    let _waits = CountGuard::new(&node.key_waits_count);
     node.request_proof();
     let proved = wait_for(node, KEY_PATIENCE, || node.proof_covers(moment)).await;
     proved.map_err(|_| IdentityRefusal::UnverifiedKey)
--- a/crates/kumquatquayd/src/routed/configuration_exchange.rs
+++ b/crates/kumquatquayd/src/routed/configuration_exchange.rs
@@ -21,7 +21,7 @@
     let era = followed.store_era;
     let news = follower.told(node.now(), era, followed.store_answers_count);
     drop(follower);
-    node.on_era_news(news, era, "node");
+    node.on_era_change(news, era, "node");
     if followed.version > node.route_version() && node.begin_configuration_ask() {
         frames.push(&FrameHead::ConfigurationAsk);
     }
--- a/crates/kumquatquayd/src/routed/counted.rs
+++ b/crates/kumquatquayd/src/routed/count_guard.rs
@@ -3,11 +3,11 @@
 use std::cell::Cell;
 
 /// One of the things that are counted, for as long as it lives.
-pub(crate) struct Counted<'a> {
+pub(crate) struct CountGuard<'a> {
     count: &'a Cell<usize>,
 }
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     /// Counts one more.
     pub(crate) fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
@@ -15,7 +15,7 @@
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
     }
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -23,7 +23,8 @@
     node::{RoutedNode, StopPhase},
     quotas::{QuotaRefusal, UnspentToken, return_token, take_token},
     request_log::{
-        log_ended, log_over_quota, log_unidentified, log_unless_many, not_run_name, unknown_name,
+        log_over_quota, log_request_end, log_request_rate_limited, log_unidentified, not_run_label,
+        unknown_label,
     },
 };
 
@@ -118,7 +119,7 @@
         }
         Err(_) => {
             node.metrics.count("failed", "deadline");
-            log_unless_many(node, &call, "failed", "deadline", None, began);
+            log_request_rate_limited(node, &call, "failed", "deadline", None, began);
             local_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
     }
@@ -315,7 +316,7 @@
             let latency = node.now().saturating_sub(began);
             node.metrics.record_served(latency);
             if node.metrics.take_sampled_log_permit(node.now()) {
-                log_ended(node, call, &answer, "served", began);
+                log_request_end(node, call, &answer, "served", began);
             }
             let mut response = Response::new(Full::new(answer.payload.body));
             *response.status_mut() =
@@ -324,20 +325,20 @@
             response
         }
         LinkOutcome::NotRun(reason) => {
-            node.metrics.count("refused", not_run_name(*reason));
-            log_ended(node, call, &answer, "refused", began);
+            node.metrics.count("refused", not_run_label(*reason));
+            log_request_end(node, call, &answer, "refused", began);
             let retry = Some(retry_after(node, &call.route.settings));
             local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "no room\n")
         }
         LinkOutcome::Unknown(UnknownReason::NoAnswer) => {
             node.metrics
-                .count("failed", unknown_name(UnknownReason::NoAnswer));
-            log_ended(node, call, &answer, "failed", began);
+                .count("failed", unknown_label(UnknownReason::NoAnswer));
+            log_request_end(node, call, &answer, "failed", began);
             local_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
         LinkOutcome::Unknown(reason) => {
-            node.metrics.count("failed", unknown_name(*reason));
-            log_ended(node, call, &answer, "failed", began);
+            node.metrics.count("failed", unknown_label(*reason));
+            log_request_end(node, call, &answer, "failed", began);
             local_answer(StatusCode::BAD_GATEWAY, None, "no whole answer\n")
         }
     }
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -402,7 +402,8 @@
     if let Some(news) = &answer.news {
         let route = &call.route.settings.name;
         if levels.on_route(now, route, &call.service, gate, news.clone()) {
-            node.learnt.tell(now, route, &call.service, news);
+            node.route_demand_log
+                .log_if_changed(now, route, &call.service, news);
         } else {
             node.metrics.count("news", "senseless");
             if node.metrics.take_log_permit(now) {
--- a/crates/kumquatquayd/src/routed/first_look.rs
+++ b/crates/kumquatquayd/src/routed/initial_health_check.rs
@@ -8,7 +8,7 @@
 use kumquatquay_core::routed::{AdvertisedRateLimit, LifeReport, LifeState, Mechanism};
 use kumquatquay_wire::BackendLife;
 
-use super::{node::RoutedNode, reports::backend_changed, server_notices::on_first_limit};
+use super::{node::RoutedNode, reports::on_backend_changed, server_notices::on_health_check_limit};
 
 /// Pauses before the looks. Reports come every second or two, so a few looks in the first
 /// second bring a node back to work a second earlier on the mean; each is a small request.
@@ -27,7 +27,7 @@
 /// A node is stopped and started again while its backend server goes on, or all nodes are
 /// killed at once. Until the next report comes nobody can call that backend server: a
 /// service with three of them loses a third of its room for that time, each time.
-pub(crate) async fn look_for_backend(node: Rc<RoutedNode>) {
+pub(crate) async fn check_backend_at_start(node: Rc<RoutedNode>) {
     if !node.is_on(Mechanism::InitialHealthCheck) {
         return;
     }
@@ -60,8 +60,8 @@
     drop(lives);
     if taken == Ok(true) {
         node.metrics.count("report", "first_look");
-        backend_changed(node);
-        on_first_limit(node, &life, found.limit);
+        on_backend_changed(node);
+        on_health_check_limit(node, &life, found.limit);
     }
 }
 
@@ -77,7 +77,7 @@
     let answer = node.backend.send(request, true).await.ok()?;
     let marks = (node.dialect.read_answer)(&answer.headers);
     let is_well = answer.status == StatusCode::OK.as_u16() && !marks.is_leaving;
-    answer.keep(marks.keep_alive_timeout);
+    answer.return_to_pool(marks.keep_alive_timeout);
     let instance = marks.instance.filter(|_| is_well)?;
     let report = LifeReport {
         life: BackendLife::untold(instance),
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -17,13 +17,13 @@
 use tokio::{net::TcpStream, sync::oneshot};
 
 use super::{
+    call_workers::run_on_worker,
     configuration_exchange::{on_configuration, on_follow_state, send_configuration},
     link_answer::LinkAnswer,
     link_frames::{FrameWriter, read_frames},
     local_run::run_locally,
     node::RoutedNode,
     quotas::{lend, return_local_token, take_local_token},
-    runners::run_call,
 };
 
 /// A link that another node has made to this one.
@@ -218,7 +218,7 @@
         cancelled,
         committed,
     };
-    run_call(node, call);
+    run_on_worker(node, call);
 }
 
 /// A call of another node that is to be run.
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -480,7 +480,7 @@
         .is_some_and(|attempt| *attempt != timed.call.attempt);
     if is_other {
         node.metrics.count("garbled", "other_request");
-        answer.discard();
+        answer.close_connection();
         return HandedOver::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
     if answer.status == 421 {
@@ -489,12 +489,12 @@
         {
             announce_backend(node);
         }
-        answer.keep(marks.keep_alive_timeout);
+        answer.return_to_pool(marks.keep_alive_timeout);
         return HandedOver::Ended(LinkAnswer::not_run(NotRunReason::TurnedAway));
     }
     if marks.is_not_run {
         on_notices(node, timed.call, began, &marks);
-        answer.keep(marks.keep_alive_timeout);
+        answer.return_to_pool(marks.keep_alive_timeout);
         return HandedOver::TurnedAway;
     }
     let is_encoded = answer.headers.contains_key(http::header::CONTENT_ENCODING);
@@ -503,13 +503,13 @@
     let is_hollow_promise = PROMISES.contains(&answer.status) && !marks.is_signed;
     if (is_success && !is_own) || is_hollow_promise {
         node.metrics.count("garbled", "unsigned");
-        answer.discard();
+        answer.close_connection();
         return HandedOver::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
     on_notices(node, timed.call, began, &marks);
     let status = answer.status;
     let fields = fields_from_headers(&answer.headers);
-    let body = answer.keep(marks.keep_alive_timeout);
+    let body = answer.return_to_pool(marks.keep_alive_timeout);
     HandedOver::Ended(LinkAnswer {
         outcome: LinkOutcome::Answered { status },
         payload: Payload { fields, body },
@@ -522,11 +522,11 @@
 
 fn on_send_error(node: &RoutedNode, error: SendError) -> LinkAnswer {
     match error {
-        SendError::NobodyThere => {
+        SendError::ConnectionRefused => {
             announce_backend_death(node, "nothing listens at its address");
             LinkAnswer::not_run(NotRunReason::Closed)
         }
         SendError::Unsent => LinkAnswer::not_run(NotRunReason::TurnedAway),
-        SendError::Broke => LinkAnswer::unknown(UnknownReason::BackendBroke),
+        SendError::ConnectionBroken => LinkAnswer::unknown(UnknownReason::BackendBroke),
     }
 }
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -81,7 +81,7 @@
             seen = Some(changed);
             refresh(&node);
         }
-        node.backend.drop_stale();
+        node.backend.close_expired();
         log_line_changes(&node);
         tokio::time::sleep(REFRESH_INTERVAL).await;
     }
@@ -177,11 +177,11 @@
                 let pause = tokio::time::sleep(until.saturating_sub(node.now()));
                 tokio::select! {
                     () = pause => {}
-                    () = node.store_return.wait() => look_for_return(&node, &store, &mut course),
+                    () = node.store_restore.wait() => look_for_return(&node, &store, &mut course),
                 }
             }
             RegisterStep::Done => {
-                node.store_return.wait().await;
+                node.store_restore.wait().await;
                 look_for_return(&node, &store, &mut course);
             }
         }
@@ -190,8 +190,8 @@
 
 /// Looks whether the store came back from a copy, which may lack this node's entry.
 fn look_for_return(node: &RoutedNode, store: &PlatformStore, course: &mut RegisterBootstrap) {
-    node.see_store_eras((store.eras)());
-    if node.store_return.take() {
+    node.on_store_eras((store.eras)());
+    if node.store_restore.take() {
         course.store_returned(node.now(), node.follower_fleet().nodes_count);
     }
 }
--- a/crates/kumquatquayd/src/routed/mod.rs
+++ b/crates/kumquatquayd/src/routed/mod.rs
@@ -13,17 +13,17 @@
 mod admission;
 mod backend_pool;
 mod buffer_pool;
+mod call_workers;
 mod caller_connection;
 mod caller_identity;
 mod configuration_exchange;
-mod counted;
+mod count_guard;
 mod entry;
-mod first_look;
 mod forwarding;
 mod held_requests;
 mod http_io;
+mod initial_health_check;
 mod interface;
-mod learnt_log;
 mod link;
 mod link_answer;
 mod link_frames;
@@ -40,13 +40,13 @@
 mod request_frame;
 mod request_log;
 mod retry_budgets;
+mod route_demand_log;
 mod routes_watch;
-mod runners;
 mod server_notices;
 mod settings;
 mod start;
 mod started_request;
-mod store_return;
+mod store_restore;
 
 pub use interface::{
     AnswerMetadata, BackendReport, ConfigurationRead, Dialect, ForwardedMetadata, ObservedEras,
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -24,16 +24,16 @@
 
 use super::{
     backend_pool::BackendPool,
+    call_workers::CallWorkers,
     held_requests::HeldRequests,
     interface::Dialect,
-    learnt_log::LearntLog,
     link::Links,
     node_metrics::NodeMetrics,
     quotas::Quotas,
     retry_budgets::{GATE_RETRY_RATIO, RetryBudgets},
-    runners::Runners,
+    route_demand_log::RouteDemandLog,
     settings::RoutedSettings,
-    store_return::StoreReturn,
+    store_restore::StoreRestore,
 };
 use crate::{
     clock::{SystemClock, unsuspended},
@@ -79,7 +79,7 @@
     /// Told that the store is to be asked out of turn.
     pub(crate) follower_wake: Notify,
     /// What is kept of the store's returns from a copy.
-    pub(super) store_return: StoreReturn,
+    pub(super) store_restore: StoreRestore,
     /// Until when the configuration in force was the newest.
     pub(super) proof: RefCell<FreshnessProof>,
     /// By how much the clock that counts suspended time was ahead when it was read last.
@@ -94,7 +94,7 @@
     pub(crate) gate_repeats: RefCell<GateRetries>,
     pub(crate) links: RefCell<Links>,
     /// What runs the calls of other nodes.
-    pub(super) runners: Runners,
+    pub(super) call_workers: CallWorkers,
     pub(crate) gate: RefCell<HostGate<RunPermit>>,
     /// Told of the first call that waits for the rate limit of the backend server.
     pub(crate) limit_wait_started: Notify,
@@ -125,7 +125,7 @@
     news: RefCell<HashMap<String, (Duration, RouteNews)>>,
     pub(crate) backend: BackendPool,
     pub(crate) metrics: NodeMetrics,
-    pub(crate) learnt: LearntLog,
+    pub(crate) route_demand_log: RouteDemandLog,
     /// Quotas of workspaces: what this node owns and keeps.
     pub(crate) quotas: RefCell<Quotas>,
     /// The most nodes that any other one has told that it knew at the same time; 0 before that.
@@ -200,7 +200,7 @@
         Rc::new(Self {
             follower: RefCell::new(follower),
             follower_wake: Notify::new(),
-            store_return: StoreReturn::default(),
+            store_restore: StoreRestore::default(),
             proof: RefCell::default(),
             suspended: Cell::default(),
             proof_updated: Notify::new(),
@@ -219,7 +219,7 @@
             retry_budgets: RefCell::default(),
             gate_repeats: RefCell::new(GateRetries::new(at_gate)),
             links: RefCell::default(),
-            runners: Runners::default(),
+            call_workers: CallWorkers::default(),
             gate: RefCell::new(gate),
             limit_wait_started: Notify::new(),
             lives: RefCell::default(),
@@ -236,7 +236,7 @@
             shares: RefCell::default(),
             request_held: Notify::new(),
             metrics: NodeMetrics::new(),
-            learnt: LearntLog::default(),
+            route_demand_log: RouteDemandLog::default(),
             quotas: RefCell::new(Quotas::new(unsuspended())),
             reported_nodes_count: Cell::new(0),
             unknown_keys: RefCell::default(),
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -81,13 +81,13 @@
     };
     node.pulse.borrow_mut().sign(now);
     if is_change {
-        backend_changed(node);
+        on_backend_changed(node);
     }
     Ok(())
 }
 
 /// The backend server of this host is another one, or in another state.
-pub(crate) fn backend_changed(node: &RoutedNode) {
+pub(crate) fn on_backend_changed(node: &RoutedNode) {
     set_limit(node);
     announce_backend(node);
     admit_waiting(node);
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -12,7 +12,7 @@
     link_answer::LinkAnswer, node::RoutedNode, quotas::QuotaRefusal,
 };
 
-pub(crate) fn not_run_name(reason: NotRunReason) -> &'static str {
+pub(crate) fn not_run_label(reason: NotRunReason) -> &'static str {
     match reason {
         NotRunReason::Full => "full",
         NotRunReason::Closed => "closed",
@@ -25,7 +25,7 @@
     }
 }
 
-pub(crate) fn unknown_name(reason: UnknownReason) -> &'static str {
+pub(crate) fn unknown_label(reason: UnknownReason) -> &'static str {
     match reason {
         UnknownReason::LinkLost => "link_lost",
         UnknownReason::BackendBroke => "backend_broke",
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn log_ended(
+pub(crate) fn log_request_end(
     node: &RoutedNode,
     call: &OutgoingCall,
     answer: &LinkAnswer,
@@ -47,14 +47,14 @@
         LinkOutcome::Unknown(reason) => reason.to_string(),
     };
     if outcome == "served" {
-        log_line(node, call, outcome, &why, answer.report, began);
+        log_request(node, call, outcome, &why, answer.report, began);
     } else {
-        log_unless_many(node, call, outcome, &why, answer.report, began);
+        log_request_rate_limited(node, call, outcome, &why, answer.report, began);
     }
 }
 
 /// Writes a line on a request, unless this second has had its lines.
-pub(crate) fn log_unless_many(
+pub(crate) fn log_request_rate_limited(
     node: &RoutedNode,
     call: &OutgoingCall,
     outcome: &'static str,
@@ -63,11 +63,11 @@
     began: Duration,
 ) {
     if node.metrics.take_log_permit(node.now()) {
-        log_line(node, call, outcome, why, report, began);
+        log_request(node, call, outcome, why, report, began);
     }
 }
 
-pub(crate) fn log_line(
+pub(crate) fn log_request(
     node: &RoutedNode,
     call: &OutgoingCall,
     outcome: &'static str,
--- a/crates/kumquatquayd/src/routed/learnt_log.rs
+++ b/crates/kumquatquayd/src/routed/route_demand_log.rs
@@ -25,7 +25,7 @@
 /// these lines nobody could tell afterwards whether a request was refused, or let in, for a
 /// wrong belief.
 #[derive(Debug, Default)]
-pub(crate) struct LearntLog {
+pub(crate) struct RouteDemandLog {
     told: RefCell<HashMap<(String, ServiceName), Line>>,
 }
 
@@ -35,9 +35,15 @@
     news: RouteNews,
 }
 
-impl LearntLog {
+impl RouteDemandLog {
     /// Writes a line if the news differs from what was told of this route last.
-    pub(crate) fn tell(&self, now: Duration, route: &str, service: &str, news: &RouteNews) {
+    pub(crate) fn log_if_changed(
+        &self,
+        now: Duration,
+        route: &str,
+        service: &str,
+        news: &RouteNews,
+    ) {
         let mut told = self.told.borrow_mut();
         let key = (String::from(route), ServiceName::from(service));
         let last = told.get(&key);
--- a/crates/kumquatquayd/src/routed/routes_watch.rs
+++ b/crates/kumquatquayd/src/routed/routes_watch.rs
@@ -122,7 +122,7 @@
     let began = node.now();
     let asked = node.boot_time();
     let news = (store.read_routes)(hold).await;
-    node.see_store_eras((store.eras)());
+    node.on_store_eras((store.eras)());
     EndedRead { began, asked, news }
 }
 
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -9,7 +9,8 @@
 };
 
 use super::{
-    interface::AnswerMetadata, local_run::admit_waiting, node::RoutedNode, reports::backend_changed,
+    interface::AnswerMetadata, local_run::admit_waiting, node::RoutedNode,
+    reports::on_backend_changed,
 };
 
 /// Takes in what the answer to a run that began at `began` says of a leaving and a rate limit.
@@ -50,7 +51,7 @@
     node.metrics.count("server_leaving", "answer");
     log::info!(event = "server_leaving", life:% = life, from = "answer";
         "the backend server of this host says that it leaves");
-    backend_changed(node);
+    on_backend_changed(node);
 }
 
 fn on_limit(node: &RoutedNode, life: &BackendLife, began: Duration, limit: AdvertisedRateLimit) {
@@ -77,7 +78,11 @@
 
 /// Takes in the rate limit that a health check tells. One that it doesn't tell may be told by
 /// answers to calls all the same, so it counts as a caller's word.
-pub(crate) fn on_first_limit(node: &RoutedNode, life: &BackendLife, limit: AdvertisedRateLimit) {
+pub(crate) fn on_health_check_limit(
+    node: &RoutedNode,
+    life: &BackendLife,
+    limit: AdvertisedRateLimit,
+) {
     if let AdvertisedRateLimit::PerSecond(per_s) = limit {
         let known = KnownLimit::told_now(per_s);
         on_told(node, life, known, "health_check");
--- a/crates/kumquatquayd/src/routed/start.rs
+++ b/crates/kumquatquayd/src/routed/start.rs
@@ -9,9 +9,9 @@
 use tokio::net::{TcpListener, UdpSocket};
 
 use super::{
-    first_look::look_for_backend,
     held_requests::release_held,
     http_io::{accept_connections, bind_listener, serve_connection},
+    initial_health_check::check_backend_at_start,
     interface::{Dialect, PlatformStore},
     link::watch_links,
     link_server::serve_link,
@@ -90,7 +90,7 @@
     tasks.spawn_local(update_level_periodically(Rc::clone(&node)));
     tasks.spawn_local(admit_within_rate_limit(Rc::clone(&node)));
     tasks.spawn_local(release_held(Rc::clone(&node)));
-    tasks.spawn_local(look_for_backend(Rc::clone(&node)));
+    tasks.spawn_local(check_backend_at_start(Rc::clone(&node)));
     tasks.spawn_local(fetch_configuration_from_peers(Rc::clone(&node)));
     log_start(&node);
     stop.await;
--- a/crates/kumquatquayd/src/routed/started_request.rs
+++ b/crates/kumquatquayd/src/routed/started_request.rs
@@ -17,7 +17,7 @@
 pub(crate) struct StartedRequest {
     node: Rc<RoutedNode>,
     /// Bytes of all of it.
-    pub(crate) whole_bytes: usize,
+    pub(crate) size_bytes: usize,
     /// How it was read.
     parts: Parts,
     body: Bytes,
@@ -27,29 +27,29 @@
 /// An answer that waits for its turn.
 pub(crate) struct HeldAnswer {
     pub(crate) answer: Response<BufferedBody>,
-    _held: HeldBytes,
-    _waiting: WaitingBytes,
-    pub(crate) in_flight: InFlight,
+    _held: HeldBytesGuard,
+    _waiting: WaitingBytesGuard,
+    pub(crate) in_flight: InFlightGuard,
 }
 
 /// Bytes of an answer that is held, as they count for its node.
-pub(crate) struct HeldBytes {
+pub(crate) struct HeldBytesGuard {
     node: Rc<RoutedNode>,
     bytes: usize,
 }
 
 /// Bytes of an answer that waits for its turn, as they count for its connection.
-struct WaitingBytes {
+struct WaitingBytesGuard {
     of_connection: Rc<Cell<usize>>,
     bytes: usize,
 }
 
 /// A request that counts as under way.
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     node: Rc<RoutedNode>,
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(crate) fn new(node: &Rc<RoutedNode>) -> Self {
         node.in_flight_count.set(node.in_flight_count.get() + 1);
         Self {
@@ -58,14 +58,14 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let count = &self.node.in_flight_count;
         count.set(count.get() - 1);
     }
 }
 
-impl HeldBytes {
+impl HeldBytesGuard {
     pub(crate) fn new(node: &Rc<RoutedNode>, answer: &Response<BufferedBody>) -> Self {
         let bytes = size_of(answer);
         let mut held = node.held_answers.get();
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for HeldBytesGuard {
     fn drop(&mut self) {
         let mut held = self.node.held_answers.get();
         held.remove(self.bytes);
@@ -86,7 +86,7 @@
     }
 }
 
-impl WaitingBytes {
+impl WaitingBytesGuard {
     fn new(of_connection: Rc<Cell<usize>>, answer: &Response<BufferedBody>) -> Self {
         let bytes = size_of(answer);
         of_connection.set(of_connection.get() + bytes);
@@ -97,7 +97,7 @@
     }
 }
 
-impl Drop for WaitingBytes {
+impl Drop for WaitingBytesGuard {
     fn drop(&mut self) {
         let of_connection = &self.of_connection;
         of_connection.set(of_connection.get() - self.bytes);
@@ -115,7 +115,7 @@
         node: &Rc<RoutedNode>,
         caller: Option<CallerAddress>,
         request: Request<Bytes>,
-        whole_bytes: usize,
+        size_bytes: usize,
         waiting_bytes: Rc<Cell<usize>>,
     ) -> Self {
         node.metrics.count("pipelined", "started");
@@ -126,20 +126,20 @@
             parts.extensions.insert(caller);
         }
         let request = Request::from_parts(parts, body);
-        let in_flight = InFlight::new(node);
+        let in_flight = InFlightGuard::new(node);
         let serving = Rc::clone(node);
         let answer = tokio::task::spawn_local(async move {
             let answer = serve_entry(Rc::clone(&serving), request).await;
             HeldAnswer {
-                _held: HeldBytes::new(&serving, &answer),
-                _waiting: WaitingBytes::new(waiting_bytes, &answer),
+                _held: HeldBytesGuard::new(&serving, &answer),
+                _waiting: WaitingBytesGuard::new(waiting_bytes, &answer),
                 answer,
                 in_flight,
             }
         });
         Self {
             node: Rc::clone(node),
-            whole_bytes,
+            size_bytes,
             parts: kept,
             body: whole,
             answer: Some(answer),
@@ -155,7 +155,7 @@
     }
 
     /// Its answer, if the HTTP library reads the same request.
-    pub(crate) async fn answer_to(
+    pub(crate) async fn answer_if_same(
         mut self,
         request: Request<Bytes>,
     ) -> Result<HeldAnswer, Request<CallerBody>> {
--- a/crates/kumquatquayd/src/routed/store_return.rs
+++ b/crates/kumquatquayd/src/routed/store_restore.rs
@@ -17,7 +17,7 @@
 
 /// What a node keeps of the store's returns.
 #[derive(Debug, Default)]
-pub(crate) struct StoreReturn {
+pub(crate) struct StoreRestore {
     /// Told of each return.
     news: Notify,
     /// Whether the register hasn't been told of the last one.
@@ -29,7 +29,7 @@
     is_behind: Cell<bool>,
 }
 
-impl StoreReturn {
+impl StoreRestore {
     /// Whether the store came back since this was asked last.
     pub(crate) fn take(&self) -> bool {
         self.is_untold.take()
@@ -45,14 +45,14 @@
 
 impl RoutedNode {
     /// Takes in what the answers of the store told of its era.
-    pub(crate) fn see_store_eras(&self, told: ObservedEras) {
+    pub(crate) fn on_store_eras(&self, told: ObservedEras) {
         let now = self.now();
         if told.highest.is_some() || told.has_answer_without_era {
             let news = self.follower.borrow_mut().era_seen(now, told.highest);
-            self.on_era_news(news, told.highest, "store");
+            self.on_era_change(news, told.highest, "store");
         }
         let malformed_count = told.malformed_count;
-        if self.store_return.malformed_count.replace(malformed_count) != malformed_count {
+        if self.store_restore.malformed_count.replace(malformed_count) != malformed_count {
             self.pass_over_era(
                 "malformed",
                 "an answer of the store tells no number as its era",
@@ -61,7 +61,7 @@
     }
 
     /// Takes in what an era that was told says of the store.
-    pub(crate) fn on_era_news(&self, news: EraChange, era: Option<StoreEra>, from: &'static str) {
+    pub(crate) fn on_era_change(&self, news: EraChange, era: Option<StoreEra>, from: &'static str) {
         match news {
             EraChange::None => {}
             EraChange::First => {
@@ -80,8 +80,8 @@
                     from = from, in_force = self.route_version();
                     "the store has lost what was written lately; it is read anew, and this node \
                      enters itself again");
-                self.store_return.is_untold.set(true);
-                self.store_return.news.notify_one();
+                self.store_restore.is_untold.set(true);
+                self.store_restore.news.notify_one();
                 self.follower_wake.notify_one();
             }
         }
@@ -95,7 +95,7 @@
     /// Tells operators whether the store lacks the configuration in force.
     pub(crate) fn log_store_behind(&self) {
         let is_behind = self.proof.borrow().is_store_behind();
-        if self.store_return.is_behind.replace(is_behind) == is_behind {
+        if self.store_restore.is_behind.replace(is_behind) == is_behind {
             return;
         }
         let in_force = self.route_version();
@@ -113,7 +113,7 @@
     fn pass_over_era(&self, why: &'static str, text: &str) {
         self.metrics.count("store_era_passed_over", why);
         let now = self.now();
-        let mut line_at = self.store_return.line_at.borrow_mut();
+        let mut line_at = self.store_restore.line_at.borrow_mut();
         if line_at.is_none_or(|line_at| now >= line_at + LINE_PAUSE) {
             *line_at = Some(now);
             log::warn!(event = "store_era_passed_over", why = why; "{text}");
