--- a/crates/kumquatquay-core/tests/routed/main.rs
+++ b/crates/kumquatquay-core/tests/routed/main.rs
@@ -1,43 +1,43 @@
-//! Decisions for calls on configured routes, without a network.
+//! Tests of the decisions for calls on configured routes, without a network.
 
+mod backend_liveness;
 mod backend_lives;
-mod backend_pulse;
 mod call_graph;
-mod call_haste;
 mod call_mesh;
 mod call_tracer;
 mod caller_census;
-mod entry_levels;
+mod entry_admission;
 mod entry_queue;
 mod failing_server;
 mod fair_shares;
-mod gate_repeats;
+mod gate_retries;
 mod held_answers;
 mod host_gate;
-mod level_setter;
-mod limited_service;
+mod level_controller;
 mod link_health;
+mod load_balancer;
 mod log_read;
-mod machine_pace;
+mod machine_slowdown;
 mod mechanisms;
+mod mixed_deadlines;
 mod newest_proof;
 mod proof_fleet;
+mod rate_limited_service;
 mod register_course;
 mod request_row;
-mod retry_window;
+mod retry_budget;
 mod return_time;
+mod route_run_times;
 mod route_table;
-mod route_works;
 mod run_failures;
-mod server_limit;
-mod split;
+mod server_rate_limit;
 mod store_eras;
 mod store_follower;
 mod store_readers;
 mod store_returns;
-mod target_table;
 mod unknown_keys;
-mod work_load;
+mod weighted_split;
+mod work_based_load;
 mod workspaces;
 
 use std::time::Duration;
