--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -69,7 +69,7 @@
 fn ask_for_share(node: &RoutedNode, line: &FlowKey, shortage: &Shortage) -> f64 {
     let now = node.now();
     let works = node
-        .levels
+        .entry_admission
         .borrow()
         .work_at(now, &line.route, &line.service);
     let work = works.iter().find(|work| work.service == shortage.service);
@@ -78,7 +78,7 @@
         service: shortage.service.clone(),
         priority: line.priority,
     };
-    let mut shares = node.shares.borrow_mut();
+    let mut shares = node.fair_shares.borrow_mut();
     let work_s = work.as_secs_f64();
     shares.ask(now, &group, &line.claimant, work_s, shortage.chance)
 }
@@ -156,7 +156,10 @@
 fn offer(node: &RoutedNode, pending: &PendingRequest<'_>) -> Result<(), Shortage> {
     let call = pending.call;
     let route = &call.route.settings.name;
-    let is_from_outside = node.levels.borrow().is_from_outside(node.now(), route);
+    let is_from_outside = node
+        .entry_admission
+        .borrow()
+        .is_from_outside(node.now(), route);
     if is_from_outside == Some(false) {
         note_call(node, pending);
         return Ok(());
@@ -182,7 +185,7 @@
     let Some(table) = node.routes() else {
         return Ok(());
     };
-    let mut levels = node.levels.borrow_mut();
+    let mut levels = node.entry_admission.borrow_mut();
     levels.admit(node.now(), request, table.priorities())
 }
 
@@ -205,11 +208,11 @@
     let now = node.now();
     let call = pending.call;
     let route = &call.route.settings.name;
-    node.graph.borrow_mut().called(now, route);
+    node.call_graph.borrow_mut().called(now, route);
     let Some(expires) = pending.expires else {
         return;
     };
-    let whole_priority = node.tracer.borrow_mut().called(route, expires);
+    let whole_priority = node.call_tracer.borrow_mut().called(route, expires);
     if let Some(priority) = whole_priority.filter(|_| node.is_on(Mechanism::RequestPriority)) {
         call.whole_priority.set(priority);
     }
--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -123,7 +123,7 @@
 
 /// What the HTTP library gets when it asks for bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReadStep {
+pub(crate) enum ReadAction {
     /// Bytes that are there, so many at most.
     Pass(usize),
     /// Whatever the socket has.
@@ -137,7 +137,7 @@
 }
 
 /// How the request that the HTTP library has reached is answered.
-pub(crate) enum Turn {
+pub(crate) enum RequestSource {
     /// It was started.
     Started(StartedRequest),
     /// Its body is small and there as a whole.
@@ -177,32 +177,32 @@
     }
 
     /// What the HTTP library gets now that it asks for bytes.
-    pub(crate) fn read_step(&self) -> ReadStep {
+    pub(crate) fn read_step(&self) -> ReadAction {
         let mut state = self.state.borrow_mut();
         loop {
             let unread_bytes = state.unread.len();
             match state.phase {
-                Phase::Blind if unread_bytes == 0 => return ReadStep::PassDirectly,
-                Phase::Blind => return ReadStep::Pass(unread_bytes),
+                Phase::Blind if unread_bytes == 0 => return ReadAction::PassDirectly,
+                Phase::Blind => return ReadAction::Pass(unread_bytes),
                 Phase::Between | Phase::Passing { .. } if unread_bytes == 0 => {
-                    return ReadStep::Read;
+                    return ReadAction::Read;
                 }
                 Phase::Between => {
                     if !self.begin_to_pass(&mut state) {
-                        return ReadStep::Read;
+                        return ReadAction::Read;
                     }
                 }
                 Phase::Passing { left_bytes, .. } => {
                     let left_bytes = usize::try_from(left_bytes).unwrap_or(usize::MAX);
-                    return ReadStep::Pass(left_bytes.min(unread_bytes));
+                    return ReadAction::Pass(left_bytes.min(unread_bytes));
                 }
                 // The HTTP library asks for more of a request that seemed to be whole.
                 Phase::Passed => self.doubt(&mut state),
                 Phase::Answering => {
                     self.start_behind(&mut state);
                     return match AHEAD_LIMIT_BYTES.saturating_sub(unread_bytes) {
-                        0 => ReadStep::Wait,
-                        room_bytes => ReadStep::ReadAhead(room_bytes),
+                        0 => ReadAction::Wait,
+                        room_bytes => ReadAction::ReadAhead(room_bytes),
                     };
                 }
             }
@@ -367,7 +367,7 @@
     }
 
     /// The HTTP library has read the head of the next request.
-    pub(crate) fn reach<B>(&self, request: &Request<B>) -> Turn {
+    pub(crate) fn reach<B>(&self, request: &Request<B>) -> RequestSource {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         match state.phase {
@@ -387,7 +387,7 @@
         }
         state.missing = Missing::Unknown;
         if let Some(started) = state.row.reach_started() {
-            return Turn::Started(started);
+            return RequestSource::Started(started);
         }
         let is_whole = match state.phase {
             Phase::Passing { left_bytes, .. } => left_bytes <= state.unread.len() as u64,
@@ -401,9 +401,9 @@
         state.row.reach(decisive);
         *self.in_flight.borrow_mut() = Some(InFlightGuard::new(&self.node));
         if has_body && is_small {
-            Turn::Whole
+            RequestSource::Whole
         } else {
-            Turn::Streamed
+            RequestSource::Streamed
         }
     }
 
--- a/crates/kumquatquayd/src/routed/configuration_exchange.rs
+++ b/crates/kumquatquayd/src/routed/configuration_exchange.rs
@@ -17,7 +17,7 @@
     if (reported_nodes_count..=NODES_LIMIT_COUNT).contains(&nodes_count) {
         node.reported_nodes_count.set(nodes_count);
     }
-    let mut follower = node.follower.borrow_mut();
+    let mut follower = node.store_poller.borrow_mut();
     let era = followed.store_era;
     let news = follower.told(node.now(), era, followed.store_answers_count);
     drop(follower);
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -134,7 +134,11 @@
         return true;
     }
     let name = &route.settings.name;
-    let is_called = node.levels.borrow().is_from_outside(node.now(), name) == Some(false);
+    let is_called = node
+        .entry_admission
+        .borrow()
+        .is_from_outside(node.now(), name)
+        == Some(false);
     node.stop_phase() == StopPhase::Closing && !is_called
 }
 
@@ -183,13 +187,13 @@
 fn count_failed_call(node: &RoutedNode, call: &OutgoingCall) {
     let now = node.now();
     let name = &call.route.settings.name;
-    let is_called = node.levels.borrow().is_from_outside(now, name) == Some(false);
+    let is_called = node.entry_admission.borrow().is_from_outside(now, name) == Some(false);
     if !is_called {
         return;
     }
-    node.failures.borrow_mut().call_lost(now);
+    node.run_failures.borrow_mut().call_lost(now);
     if node.is_on(Mechanism::KeptGraph) {
-        node.graph.borrow_mut().call_failed(now, name);
+        node.call_graph.borrow_mut().call_failed(now, name);
     }
 }
 
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -170,7 +170,7 @@
     ) -> bool {
         let is_idempotent = call.route.settings.repeat == Repeat::Idempotent;
         let last = self.progress.last.filter(|_| is_idempotent);
-        let targets = node.targets.borrow();
+        let targets = node.load_balancer.borrow();
         answer.is_failed_run()
             && last.is_some_and(|control| targets.is_out_of_line(&call.service, control))
     }
@@ -226,7 +226,7 @@
         }
         let other = choose(node, call, &self.asked)?;
         if !node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
-            let mut targets = node.targets.borrow_mut();
+            let mut targets = node.load_balancer.borrow_mut();
             targets.ended(node.now(), other.control, EndpointResult::Cancelled, None);
             return None;
         }
@@ -254,7 +254,10 @@
     /// Rate limits that leave no room now will hardly leave any for all who wait at once, so each
     /// look counts as a refusal, and the caller soon hears that it has not run.
     fn no_room(&mut self, node: &RoutedNode, call: &OutgoingCall) -> NotRunReason {
-        let is_limited = node.targets.borrow().is_limited(node.now(), &call.service);
+        let is_limited = node
+            .load_balancer
+            .borrow()
+            .is_limited(node.now(), &call.service);
         if !is_limited {
             return NotRunReason::Full;
         }
@@ -295,7 +298,7 @@
 
 fn choose(node: &RoutedNode, call: &OutgoingCall, asked: &[SocketAddr]) -> Option<PickedEndpoint> {
     let mut random = node.random.borrow_mut();
-    let mut targets = node.targets.borrow_mut();
+    let mut targets = node.load_balancer.borrow_mut();
     let may_repeat = call.route.settings.repeat == Repeat::Idempotent;
     targets.choose(node.now(), &call.service, asked, may_repeat, &mut *random)
 }
@@ -331,7 +334,7 @@
             EndpointResult::Cancelled
         };
         let now = self.node.now();
-        let mut targets = self.node.targets.borrow_mut();
+        let mut targets = self.node.load_balancer.borrow_mut();
         targets.ended(now, self.control, ended, None);
     }
 }
@@ -350,7 +353,7 @@
         on_notices(node, choice, life, &answer);
     }
     let ended = ended_of(&answer.outcome);
-    let mut targets = node.targets.borrow_mut();
+    let mut targets = node.load_balancer.borrow_mut();
     targets.ended(node.now(), choice.control, ended, answer.report);
     answer
 }
@@ -358,10 +361,10 @@
 /// Takes in what a backend server has told this host of a rate limit and of its leaving.
 fn on_notices(node: &RoutedNode, choice: &PickedEndpoint, life: &BackendLife, answer: &LinkAnswer) {
     if let (LinkOutcome::Answered { .. }, Some(report)) = (&answer.outcome, answer.report) {
-        let mut targets = node.targets.borrow_mut();
+        let mut targets = node.load_balancer.borrow_mut();
         targets.on_limit(node.now(), life, report.rate);
     }
-    if answer.is_leaving && node.targets.borrow_mut().on_leaving(node.now(), life) {
+    if answer.is_leaving && node.load_balancer.borrow_mut().on_leaving(node.now(), life) {
         node.metrics.count("server_leaving", "told");
         log::info!(event = "server_leaving", life:% = life, from = "answer",
             node:% = choice.control;
@@ -395,7 +398,7 @@
 /// Takes in what an answer tells of the services on the way.
 fn learn(node: &RoutedNode, call: &OutgoingCall, gate: SocketAddr, answer: &LinkAnswer) {
     let now = node.now();
-    let mut levels = node.levels.borrow_mut();
+    let mut levels = node.entry_admission.borrow_mut();
     if let Some(report) = answer.report {
         levels.on_gate(now, &call.service, gate, &report);
     }
@@ -445,7 +448,7 @@
 ) -> CallHead<'a> {
     let settings = &call.route.settings;
     let time_left = call.deadline.saturating_sub(node.now() + ANSWER_TIME);
-    let levels = node.levels.borrow();
+    let levels = node.entry_admission.borrow();
     let level = levels.level(node.now(), &call.service);
     let level = level.map_or(1.0, |(level, _)| level);
     CallHead {
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -126,7 +126,7 @@
         }
         self.pressures_told.set(now);
         let leads_to = node.route_news(route).leads_to;
-        node.levels.borrow().pressures(now, &leads_to)
+        node.entry_admission.borrow().pressures(now, &leads_to)
     }
 }
 
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -67,8 +67,8 @@
     let deadline = now + Duration::from_millis(call.remaining_ms);
     let heard = f64::from(call.level_permille) / 1_000.0;
     let work = node.gate.borrow().works().of(call.route);
-    node.level.borrow_mut().arrived(heard, work);
-    node.census
+    node.level_controller.borrow_mut().arrived(heard, work);
+    node.route_callers
         .borrow_mut()
         .called(now, call.route, call.caller_service);
     let due = now + Duration::from_millis(call.target_latency_ms);
@@ -108,12 +108,12 @@
         let now = node.now();
         let state = node.gate.borrow().state();
         let work = node.gate.borrow().work();
-        let is_silent = node.pulse.borrow().is_silent(now, work);
+        let is_silent = node.backend_liveness.borrow().is_silent(now, work);
         if is_silent && node.is_on(Mechanism::SilentBackend) {
             // Runs under way go on: their answers may still come.
             announce_backend_death(&node, "it gives no answers");
         }
-        node.level.borrow_mut().tick(now, state);
+        node.level_controller.borrow_mut().tick(now, state);
     }
 }
 
@@ -276,7 +276,8 @@
     let drain = node.settings.bounds.drain.mul_f64(DRAIN_RATIO);
     let life = timed.call.life.as_deref();
     let is_once = !timed.call.is_idempotent && !timed.call.accepts_failing;
-    if is_once && node.is_on(Mechanism::OutlierEjection) && node.failures.borrow().is_failing() {
+    if is_once && node.is_on(Mechanism::OutlierEjection) && node.run_failures.borrow().is_failing()
+    {
         return Err(NotRunReason::Failing);
     }
     if is_served && lives.may_run(now, life, drain) {
@@ -318,12 +319,12 @@
     fn new(node: &'a RoutedNode, call: &'a CallHead<'a>, time_left: Duration) -> Self {
         let now = node.now();
         let deadline = now + time_left;
-        let number = node
-            .tracer
-            .borrow_mut()
-            .run_began(call.route, call.whole_priority, deadline);
-        node.graph.borrow_mut().run_began(now, call.route);
-        node.pulse.borrow_mut().began(now);
+        let number =
+            node.call_tracer
+                .borrow_mut()
+                .run_began(call.route, call.whole_priority, deadline);
+        node.call_graph.borrow_mut().run_began(now, call.route);
+        node.backend_liveness.borrow_mut().began(now);
         Self {
             node,
             call,
@@ -337,10 +338,16 @@
 impl Drop for Run<'_> {
     fn drop(&mut self) {
         let now = self.node.now();
-        self.node.graph.borrow_mut().run_ended(now, self.call.route);
-        let mut tracer = self.node.tracer.borrow_mut();
+        self.node
+            .call_graph
+            .borrow_mut()
+            .run_ended(now, self.call.route);
+        let mut tracer = self.node.call_tracer.borrow_mut();
         tracer.run_ended(now, self.number, self.is_well);
-        self.node.pulse.borrow_mut().ended(now, self.has_sign);
+        self.node
+            .backend_liveness
+            .borrow_mut()
+            .ended(now, self.has_sign);
     }
 }
 
@@ -355,13 +362,13 @@
 /// Hands a call to the backend server, once more if it was turned away and that is
 /// worth a part of the retry budget.
 async fn hand_over(node: &Rc<RoutedNode>, timed: &Timed<'_>, mut slot: Slot) -> LinkAnswer {
-    node.gate_repeats.borrow_mut().on_call(node.now());
+    node.gate_retries.borrow_mut().on_call(node.now());
     for hand_overs_count in 1.. {
         slot.began = node.now();
         let handed_over = hand_over_once(node, timed, &mut slot).await;
         let is_turned_away = matches!(handed_over, HandedOver::TurnedAway);
         count_run(node, slot.began, &handed_over);
-        node.gate_repeats.borrow_mut().on_result(is_turned_away);
+        node.gate_retries.borrow_mut().on_result(is_turned_away);
         if let HandedOver::Ended(answer) = handed_over {
             // A server that fails at once would tell that it is the fastest.
             slot.counts_work = answer.is_success();
@@ -378,7 +385,7 @@
 /// Counts how a run that began at this moment ended, and whether that was the backend server's own doing.
 fn count_run(node: &RoutedNode, began: Duration, handed_over: &HandedOver) {
     let now = node.now();
-    let mut failures = node.failures.borrow_mut();
+    let mut failures = node.run_failures.borrow_mut();
     let outcome = match handed_over {
         HandedOver::TurnedAway => {
             failures.turned_away();
@@ -406,13 +413,13 @@
     if !node.is_on(Mechanism::GateRetries) {
         return false;
     }
-    let services_count = node.targets.borrow().services_count();
-    let census = node.census.borrow();
+    let services_count = node.load_balancer.borrow().services_count();
+    let census = node.route_callers.borrow();
     let call = RejectedCall {
         is_from_outside: census.is_from_outside(now, timed.call.route, services_count),
         hand_overs_count,
     };
-    let mut repeats = node.gate_repeats.borrow_mut();
+    let mut repeats = node.gate_retries.borrow_mut();
     repeats.take(now, call) && node.gate.borrow_mut().may_hand_over_again(now)
 }
 
@@ -472,7 +479,9 @@
         node.gate.borrow_mut().on_backend_load(load);
     }
     if let Some(ratio) = marks.pace_ratio {
-        node.pace.borrow_mut().on_told(node.now(), ratio);
+        node.machine_slowdown
+            .borrow_mut()
+            .on_told(node.now(), ratio);
     }
     let is_other = marks
         .attempt_id
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -44,7 +44,7 @@
         LifeState::Serving => MemberState::Warming,
         LifeState::Draining | LifeState::Gone => MemberState::Draining,
     };
-    node.failures.borrow_mut().on_life(&current.life);
+    node.run_failures.borrow_mut().on_life(&current.life);
     let mut gate = node.gate.borrow_mut();
     gate.server_limit_mut().on_life(&current.life);
     drop(gate);
@@ -89,7 +89,7 @@
 
 /// Tells which backend servers fail more than their peers, with what that was judged by.
 fn log_line_changes(node: &RoutedNode) {
-    let changes = node.targets.borrow_mut().take_line_changes();
+    let changes = node.load_balancer.borrow_mut().take_line_changes();
     for change in changes {
         log::warn!(event = "backend_out_of_line", service = change.service.as_str(),
             node:% = change.control, left_alone = change.is_out,
@@ -119,7 +119,7 @@
     let near = StoreReaders::near(&settings.data_centre, members.iter());
     let near = near.into_iter().map(|reader| reader.peer);
     node.near_readers.replace(near.collect());
-    let mut targets = node.targets.borrow_mut();
+    let mut targets = node.load_balancer.borrow_mut();
     targets.rebuild(&node.settings.data_centre, members.iter());
 }
 
@@ -192,7 +192,7 @@
 fn look_for_return(node: &RoutedNode, store: &PlatformStore, course: &mut RegisterBootstrap) {
     node.on_store_eras((store.eras)());
     if node.store_restore.take() {
-        course.store_returned(node.now(), node.follower_fleet().nodes_count);
+        course.store_returned(node.now(), node.poller_fleet().nodes_count);
     }
 }
 
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -70,28 +70,28 @@
     clock: SystemClock,
     pub(crate) random: RefCell<StdRng>,
     /// Where this node begins to split calls by weight, from 0 to 1.
-    phase: f64,
+    split_phase: f64,
     pub(crate) routes: RefCell<Option<Arc<RouteTable>>>,
     /// The configuration in force as it was read, for nodes that ask.
     pub(crate) configuration: RefCell<Option<RouteConfiguration>>,
     /// When the store is asked for configurations.
-    pub(crate) follower: RefCell<StorePoller>,
+    pub(crate) store_poller: RefCell<StorePoller>,
     /// Told that the store is to be asked out of turn.
-    pub(crate) follower_wake: Notify,
+    pub(crate) store_poller_wake: Notify,
     /// What is kept of the store's returns from a copy.
     pub(super) store_restore: StoreRestore,
     /// Until when the configuration in force was the newest.
     pub(super) proof: RefCell<FreshnessProof>,
     /// By how much the clock that counts suspended time was ahead when it was read last.
-    pub(super) suspended: Cell<Duration>,
+    pub(super) suspended_offset: Cell<Duration>,
     /// Told of each new proof.
     pub(crate) proof_updated: Notify,
     /// When another node may next be asked for a configuration.
-    next_ask: Cell<Duration>,
-    pub(crate) targets: RefCell<LoadBalancer>,
+    next_configuration_ask: Cell<Duration>,
+    pub(crate) load_balancer: RefCell<LoadBalancer>,
     pub(super) retry_budgets: RefCell<RetryBudgets>,
     /// Calls that the gate of this host hands over once more.
-    pub(crate) gate_repeats: RefCell<GateRetries>,
+    pub(crate) gate_retries: RefCell<GateRetries>,
     pub(crate) links: RefCell<Links>,
     /// What runs the calls of other nodes.
     pub(super) call_workers: CallWorkers,
@@ -100,29 +100,29 @@
     pub(crate) limit_wait_started: Notify,
     pub(crate) lives: RefCell<BackendLives>,
     /// Whether the backend server of this host gives answers.
-    pub(crate) pulse: RefCell<BackendLiveness>,
+    pub(crate) backend_liveness: RefCell<BackendLiveness>,
     /// How fast its machine works at this moment.
-    pub(crate) pace: RefCell<MachineSlowdown>,
+    pub(crate) machine_slowdown: RefCell<MachineSlowdown>,
     /// Failures of the backend server of this host.
-    pub(crate) failures: RefCell<RunFailures>,
+    pub(crate) run_failures: RefCell<RunFailures>,
     /// Sets the level of the gate of this host.
-    pub(crate) level: RefCell<LevelController>,
+    pub(crate) level_controller: RefCell<LevelController>,
     /// From where routes to the backend server of this host are called.
-    pub(crate) census: RefCell<RouteCallers>,
+    pub(crate) route_callers: RefCell<RouteCallers>,
     /// Which calls the backend server of this host makes.
-    pub(crate) graph: RefCell<CallGraph>,
+    pub(crate) call_graph: RefCell<CallGraph>,
     /// The same, run by run.
-    pub(crate) tracer: RefCell<CallTracer>,
+    pub(crate) call_tracer: RefCell<CallTracer>,
     /// What is known of the pressure on services and of where routes lead.
-    pub(crate) levels: RefCell<EntryAdmission>,
+    pub(crate) entry_admission: RefCell<EntryAdmission>,
     /// Requests that are held at the entry.
     pub(super) held_requests: RefCell<HeldRequests>,
     /// Who asked for how much of the room that is short.
-    pub(super) shares: RefCell<FairShares>,
+    pub(super) fair_shares: RefCell<FairShares>,
     /// Told of the first that is held.
     pub(super) request_held: Notify,
     /// News of routes that were worked out just now.
-    news: RefCell<HashMap<String, (Duration, RouteNews)>>,
+    route_news_cache: RefCell<HashMap<String, (Duration, RouteNews)>>,
     pub(crate) backend: BackendPool,
     pub(crate) metrics: NodeMetrics,
     pub(crate) route_demand_log: RouteDemandLog,
@@ -198,15 +198,15 @@
         // A longer one would end the link that is to carry it.
         let answer_limit_bytes = held_answers.answer_limit_bytes().min(BODY_LIMIT_BYTES);
         Rc::new(Self {
-            follower: RefCell::new(follower),
-            follower_wake: Notify::new(),
+            store_poller: RefCell::new(follower),
+            store_poller_wake: Notify::new(),
             store_restore: StoreRestore::default(),
             proof: RefCell::default(),
-            suspended: Cell::default(),
+            suspended_offset: Cell::default(),
             proof_updated: Notify::new(),
             backend: BackendPool::new(settings.backend, answer_limit_bytes),
-            phase: random.random(),
-            targets: RefCell::new(LoadBalancer::new(settings.mechanisms)),
+            split_phase: random.random(),
+            load_balancer: RefCell::new(LoadBalancer::new(settings.mechanisms)),
             settings,
             dialect,
             engine,
@@ -215,25 +215,25 @@
             random: RefCell::new(random),
             routes: RefCell::default(),
             configuration: RefCell::default(),
-            next_ask: Cell::default(),
+            next_configuration_ask: Cell::default(),
             retry_budgets: RefCell::default(),
-            gate_repeats: RefCell::new(GateRetries::new(at_gate)),
+            gate_retries: RefCell::new(GateRetries::new(at_gate)),
             links: RefCell::default(),
             call_workers: CallWorkers::default(),
             gate: RefCell::new(gate),
             limit_wait_started: Notify::new(),
             lives: RefCell::default(),
-            pulse: RefCell::default(),
-            pace: RefCell::default(),
-            failures: RefCell::default(),
-            news: RefCell::default(),
-            level: RefCell::default(),
-            census: RefCell::new(census),
-            graph: RefCell::default(),
-            tracer: RefCell::default(),
-            levels: RefCell::default(),
+            backend_liveness: RefCell::default(),
+            machine_slowdown: RefCell::default(),
+            run_failures: RefCell::default(),
+            route_news_cache: RefCell::default(),
+            level_controller: RefCell::default(),
+            route_callers: RefCell::new(census),
+            call_graph: RefCell::default(),
+            call_tracer: RefCell::default(),
+            entry_admission: RefCell::default(),
             held_requests: RefCell::default(),
-            shares: RefCell::default(),
+            fair_shares: RefCell::default(),
             request_held: Notify::new(),
             metrics: NodeMetrics::new(),
             route_demand_log: RouteDemandLog::default(),
@@ -263,9 +263,10 @@
     /// behind would ask hundreds of times before the first document has come.
     pub(crate) fn begin_configuration_ask(&self) -> bool {
         let now = self.now();
-        let is_due = now >= self.next_ask.get();
+        let is_due = now >= self.next_configuration_ask.get();
         if is_due {
-            self.next_ask.set(now + CONFIGURATION_ASK_PAUSE);
+            self.next_configuration_ask
+                .set(now + CONFIGURATION_ASK_PAUSE);
         }
         is_due
     }
@@ -283,7 +284,7 @@
 
     /// How far this node follows the configuration, as others are told who haven't asked.
     pub(crate) fn follow_state(&self) -> FollowState {
-        let follower = self.follower.borrow();
+        let follower = self.store_poller.borrow();
         FollowState {
             version: self.route_version(),
             store_era: follower.era(),
@@ -294,7 +295,7 @@
     }
 
     /// The fleet as far as this node knows it.
-    pub(crate) fn follower_fleet(&self) -> PollerFleet {
+    pub(crate) fn poller_fleet(&self) -> PollerFleet {
         let estimate_count = self.register_estimate_count.get();
         PollerFleet {
             nodes_count: self.nodes_count.get().max(estimate_count),
@@ -315,7 +316,7 @@
         if version <= self.route_version() {
             return;
         }
-        let table = RouteTable::new(configuration.clone(), self.phase);
+        let table = RouteTable::new(configuration.clone(), self.split_phase);
         if let Some(old) = self.routes() {
             let taken_away = old.workspaces().keys_not_in(table.workspaces());
             let mut unknown_keys = self.unknown_keys.borrow_mut();
@@ -346,9 +347,9 @@
 
     /// How busy the backend server of this host is.
     pub(crate) fn gate_report(&self) -> GateReport {
-        let level = self.level.borrow().level();
-        let failed_ratio = self.failures.borrow().ratio();
-        let pace_ratio = self.pace.borrow().ratio(self.now());
+        let level = self.level_controller.borrow().level();
+        let failed_ratio = self.run_failures.borrow().ratio();
+        let pace_ratio = self.machine_slowdown.borrow().ratio(self.now());
         GateReport {
             failed_permille: (failed_ratio * 1_000.0) as u16,
             pace_permille: (pace_ratio.unwrap_or_default() * 1_000.0) as u16,
@@ -367,21 +368,21 @@
     /// the service, and each answer may tell it.
     pub(crate) fn route_news(&self, route: &str) -> RouteNews {
         let now = self.now();
-        if let Some((told, news)) = self.news.borrow().get(route)
+        if let Some((told, news)) = self.route_news_cache.borrow().get(route)
             && now < *told + NEWS_LIFETIME
         {
             return news.clone();
         }
         let news = self.fresh_news(now, route);
-        let mut known = self.news.borrow_mut();
+        let mut known = self.route_news_cache.borrow_mut();
         known.retain(|_, (told, _)| now < *told + NEWS_LIFETIME);
         known.insert(String::from(route), (now, news.clone()));
         news
     }
 
     fn fresh_news(&self, now: Duration, route: &str) -> RouteNews {
-        let services_count = self.targets.borrow().services_count();
-        let levels = self.levels.borrow();
+        let services_count = self.load_balancer.borrow().services_count();
+        let levels = self.entry_admission.borrow();
         let own = self.own_demand(route);
         let mut leads_to = BTreeMap::from([(own.service.clone(), own)]);
         let (rows, is_traced) = self.call_rows(now, route);
@@ -398,11 +399,12 @@
         }
         let is_young = now < SETTLING_TIME;
         RouteNews {
-            is_settled: is_traced || (!is_young && self.graph.borrow().is_settled()),
-            is_from_outside: self
-                .census
-                .borrow()
-                .is_from_outside(now, route, services_count),
+            is_settled: is_traced || (!is_young && self.call_graph.borrow().is_settled()),
+            is_from_outside: self.route_callers.borrow().is_from_outside(
+                now,
+                route,
+                services_count,
+            ),
             leads_to: leads_to.into_values().collect(),
         }
     }
@@ -420,11 +422,11 @@
 
     /// What one run of a route calls, and whether all of it was seen run by run.
     fn call_rows(&self, now: Duration, route: &str) -> (Vec<CallEdge>, bool) {
-        let fitted = self.graph.borrow().rows(route);
+        let fitted = self.call_graph.borrow().rows(route);
         if !self.is_on(Mechanism::TracedCalls) {
             return (fitted, false);
         }
-        let tracer = self.tracer.borrow();
+        let tracer = self.call_tracer.borrow();
         let Some(mut rows) = tracer.rows(now, route) else {
             return (fitted, false);
         };
@@ -433,7 +435,7 @@
         // nowhere.
         rows.extend(fitted.into_iter().filter(|row| !tracer.tells(&row.route)));
         let is_all = self
-            .graph
+            .call_graph
             .borrow()
             .callees()
             .all(|callee| tracer.tells(callee));
--- a/crates/kumquatquayd/src/routed/pipelining.rs
+++ b/crates/kumquatquayd/src/routed/pipelining.rs
@@ -26,7 +26,7 @@
 };
 
 use super::{
-    caller_connection::{CallerConnection, ReadStep, Turn},
+    caller_connection::{CallerConnection, ReadAction, RequestSource},
     entry::{CallerBody, serve_entry},
     http_io::{BufferedBody, http1_server, local_answer},
     node::{RoutedNode, StopPhase},
@@ -92,25 +92,29 @@
 /// Answers a request that the HTTP library has read.
 async fn answer(
     row: Rc<CallerConnection>,
-    turn: Turn,
+    turn: RequestSource,
     mut request: Request<Incoming>,
 ) -> Response<BufferedBody> {
     if let Some(caller) = row.caller() {
         request.extensions_mut().insert(caller);
     }
     let mut answer = match turn {
-        Turn::Streamed | Turn::Whole if !row.node.held_answers.get().has_room() => {
+        RequestSource::Streamed | RequestSource::Whole
+            if !row.node.held_answers.get().has_room() =>
+        {
             refuse_for_memory(&row.node)
         }
-        Turn::Streamed => serve_entry(Rc::clone(&row.node), request.map(CallerBody::Left)).await,
-        Turn::Whole => match whole(request).await {
+        RequestSource::Streamed => {
+            serve_entry(Rc::clone(&row.node), request.map(CallerBody::Left)).await
+        }
+        RequestSource::Whole => match whole(request).await {
             Ok(request) => {
                 let request = request.map(|body| CallerBody::Right(Full::new(body)));
                 serve_entry(Rc::clone(&row.node), request).await
             }
             Err(answer) => answer,
         },
-        Turn::Started(started) => match whole(request).await {
+        RequestSource::Started(started) => match whole(request).await {
             Ok(request) => match row.take_started(started, request).await {
                 Ok(answer) => answer,
                 Err(request) => serve_entry(Rc::clone(&row.node), request).await,
@@ -247,15 +251,15 @@
         let io = self.get_mut();
         loop {
             let limit_bytes = match io.row.read_step() {
-                ReadStep::PassDirectly => return io.poll_pass_directly(context, cursor),
-                ReadStep::Pass(bytes_count) => {
+                ReadAction::PassDirectly => return io.poll_pass_directly(context, cursor),
+                ReadAction::Pass(bytes_count) => {
                     let bytes_count = bytes_count.min(cursor.remaining());
                     io.row.pass(bytes_count, |bytes| cursor.put_slice(bytes));
                     return Poll::Ready(Ok(()));
                 }
-                ReadStep::Wait => return Poll::Pending,
-                ReadStep::Read => PIECE_BYTES,
-                ReadStep::ReadAhead(room_bytes) => room_bytes,
+                ReadAction::Wait => return Poll::Pending,
+                ReadAction::Read => PIECE_BYTES,
+                ReadAction::ReadAhead(room_bytes) => room_bytes,
             };
             let read_bytes = std::task::ready!(io.poll_fill(context, limit_bytes))?;
             if read_bytes == 0 && !io.row.on_end() {
--- a/crates/kumquatquayd/src/routed/proofs.rs
+++ b/crates/kumquatquayd/src/routed/proofs.rs
@@ -32,7 +32,7 @@
     /// Time by the clock that counts suspended time.
     pub(crate) fn boot_time(&self) -> Duration {
         let now = unsuspended();
-        self.suspended.set(now.saturating_sub(self.now()));
+        self.suspended_offset.set(now.saturating_sub(self.now()));
         now
     }
 
@@ -40,7 +40,7 @@
     /// be missing. It costs no reading of that clock, and a question that is taken for older than
     /// it is makes a proof no younger.
     pub(crate) fn boot_time_at_most(&self, now: Duration) -> Duration {
-        now + self.suspended.get()
+        now + self.suspended_offset.get()
     }
 
     /// How far this node follows the configuration, as those are told who asked.
@@ -76,9 +76,9 @@
 
     /// Asks for a proof that begins now.
     pub(crate) fn request_proof(&self) {
-        let nodes_count = self.follower_fleet().nodes_count;
-        self.follower.borrow_mut().want(self.now(), nodes_count);
-        self.follower_wake.notify_one();
+        let nodes_count = self.poller_fleet().nodes_count;
+        self.store_poller.borrow_mut().want(self.now(), nodes_count);
+        self.store_poller_wake.notify_one();
     }
 
     /// Whether nothing newer than the configuration in force was confirmed before a moment of
@@ -93,7 +93,7 @@
         learn(&mut proof);
         if let Some(age) = proof.age(self.boot_time()) {
             let proven = self.now().saturating_sub(age);
-            self.follower.borrow_mut().proven(proven);
+            self.store_poller.borrow_mut().proven(proven);
             self.proof_updated.notify_waiters();
         }
     }
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -79,7 +79,7 @@
         }
         BackendReport::Leave { life } => node.lives.borrow_mut().on_leave(now, &life),
     };
-    node.pulse.borrow_mut().sign(now);
+    node.backend_liveness.borrow_mut().sign(now);
     if is_change {
         on_backend_changed(node);
     }
--- a/crates/kumquatquayd/src/routed/retry_budgets.rs
+++ b/crates/kumquatquayd/src/routed/retry_budgets.rs
@@ -70,7 +70,7 @@
 
     /// Calls that one run of a route makes at services other than its own.
     fn calls_behind(&self, route: &str, service: &str) -> Vec<(ServiceName, f64)> {
-        let levels = self.levels.borrow();
+        let levels = self.entry_admission.borrow();
         let leads_to = levels.leads_to(self.now(), route, service).iter();
         let behind = leads_to.filter(|demand| demand.service != service);
         behind
--- a/crates/kumquatquayd/src/routed/routes_watch.rs
+++ b/crates/kumquatquayd/src/routed/routes_watch.rs
@@ -56,17 +56,17 @@
                 }
             }
             () = pause => {}
-            () = node.follower_wake.notified() => {}
+            () = node.store_poller_wake.notified() => {}
         }
     }
 }
 
 fn next_step(node: &RoutedNode) -> PollStep {
     let now = node.now();
-    let mut follower = node.follower.borrow_mut();
+    let mut follower = node.store_poller.borrow_mut();
     let was_ailing = follower.is_ailing();
     let unheard = follower.unheard(now);
-    let step = follower.step(now, node.follower_fleet());
+    let step = follower.step(now, node.poller_fleet());
     if was_ailing && !follower.is_ailing() {
         log::info!(event = "store_regained", unheard_ms = unheard.as_millis() as u64,
             in_force = node.route_version(); "other nodes tell of its answers again");
@@ -82,7 +82,7 @@
 }
 
 fn is_proof_due(node: &RoutedNode) -> bool {
-    node.follower.borrow().is_proof_due(node.now())
+    node.store_poller.borrow().is_proof_due(node.now())
 }
 
 /// Asks a node that reads the store for all how far it is; its answer on the link tells. A node
@@ -129,7 +129,7 @@
 /// Takes in what came of a read; whether the store answered it.
 fn on_read_ended(node: &Rc<RoutedNode>, ended: EndedRead) -> bool {
     let now = node.now();
-    let mut follower = node.follower.borrow_mut();
+    let mut follower = node.store_poller.borrow_mut();
     let was_ailing = follower.is_ailing();
     let unheard = follower.unheard(now);
     let took_ms = now.saturating_sub(ended.began).as_millis() as u64;
--- a/crates/kumquatquayd/src/routed/store_restore.rs
+++ b/crates/kumquatquayd/src/routed/store_restore.rs
@@ -48,7 +48,7 @@
     pub(crate) fn on_store_eras(&self, told: ObservedEras) {
         let now = self.now();
         if told.highest.is_some() || told.has_answer_without_era {
-            let news = self.follower.borrow_mut().era_seen(now, told.highest);
+            let news = self.store_poller.borrow_mut().era_seen(now, told.highest);
             self.on_era_change(news, told.highest, "store");
         }
         let malformed_count = told.malformed_count;
@@ -82,7 +82,7 @@
                      enters itself again");
                 self.store_restore.is_untold.set(true);
                 self.store_restore.news.notify_one();
-                self.follower_wake.notify_one();
+                self.store_poller_wake.notify_one();
             }
         }
     }
