--- a/crates/kumquatquay-core/src/routed/backend_liveness.rs
+++ b/crates/kumquatquay-core/src/routed/backend_liveness.rs
@@ -28,7 +28,7 @@
 
 impl BackendLiveness {
     /// A call was handed over.
-    pub fn began(&mut self, now: Duration) {
+    pub fn call_started(&mut self, now: Duration) {
         if self.under_way_count == 0 {
             self.last_sign = now;
         }
@@ -36,7 +36,7 @@
     }
 
     /// A call ended; `is_sign` if something came from the backend server.
-    pub fn ended(&mut self, now: Duration, is_sign: bool) {
+    pub fn call_ended(&mut self, now: Duration, is_sign: bool) {
         self.under_way_count = self.under_way_count.saturating_sub(1);
         if is_sign {
             self.last_sign = now;
@@ -44,7 +44,7 @@
     }
 
     /// Something else came from the backend server.
-    pub fn sign(&mut self, now: Duration) {
+    pub fn on_activity(&mut self, now: Duration) {
         self.last_sign = now;
     }
 
--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -70,7 +70,7 @@
     pub priority: Priority,
     /// Its own place among requests of the same rank, from 0 to 1; the higher ones
     /// are refused first.
-    pub place: f64,
+    pub tie_breaker: f64,
 }
 
 /// Why a request is not let in.
@@ -83,9 +83,9 @@
     /// How old it is.
     pub age: Duration,
     /// Share of the requests of the same rank that are let in.
-    pub chance: f64,
+    pub admission_probability: f64,
     /// How long the service has been short.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Where a request stands among all that lead to a service: shares of the offered
@@ -126,7 +126,7 @@
 
     /// Takes in what a gate knows of a route at its service; whether it makes sense. What
     /// doesn't is passed over.
-    pub fn on_route(
+    pub fn on_route_update(
         &mut self,
         now: Duration,
         route: &str,
@@ -156,13 +156,13 @@
     }
 
     /// What one run of a route at a service asks of each service, its own run included.
-    pub fn leads_to(&self, now: Duration, route: &str, service: &str) -> &[ServiceDemand] {
+    pub fn demands(&self, now: Duration, route: &str, service: &str) -> &[ServiceDemand] {
         self.known_at(now, route, service)
             .map_or(&[], |news| &news.leads_to)
     }
 
     /// [`leads_to`](Self::leads_to), over the services that a route is split among.
-    pub fn leads_to_all(&self, now: Duration, route: &str) -> Vec<ServiceDemand> {
+    pub fn all_demands(&self, now: Duration, route: &str) -> Vec<ServiceDemand> {
         let known: Vec<&RouteNews> = self.known(now, route).map(|(_, news)| news).collect();
         let share = 1.0 / known.len().max(1) as f32;
         let all = known.into_iter().flat_map(|news| &news.leads_to);
@@ -171,8 +171,8 @@
 
     /// Slot time that one request of a route takes at each service that it reaches; empty while
     /// nothing is known of the route.
-    pub fn work_at(&self, now: Duration, route: &str, service: &str) -> Vec<ServiceWork> {
-        let reached = self.leads_to(now, route, service).iter();
+    pub fn work_by_service(&self, now: Duration, route: &str, service: &str) -> Vec<ServiceWork> {
+        let reached = self.demands(now, route, service).iter();
         let works = reached.map(|demand| ServiceWork {
             service: demand.service.clone(),
             work: Duration::from_secs_f64(self.work_s(now, demand)),
@@ -270,13 +270,13 @@
         let has_others_behind = standing.behind() >= BEHIND_LEAST_RATIO;
         let level = if has_others_behind { held_level } else { level };
         standing
-            .admit(request.place, level)
+            .admit(request.tie_breaker, level)
             .map_err(|chance| Shortage {
                 service: ServiceName::from(service),
                 level,
                 age,
-                chance,
-                lasts,
+                admission_probability: chance,
+                duration: lasts,
             })
     }
 
--- a/crates/kumquatquay-core/src/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/src/routed/entry_queue.rs
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HoldRequest<'a> {
     /// Where it would wait.
-    pub line: &'a FlowKey,
+    pub flow: &'a FlowKey,
     /// Share of the requests of its line for which there is room now.
-    pub chance: f64,
+    pub admission_probability: f64,
     /// Moment until which its answer is worth most.
-    pub due: Duration,
+    pub soft_deadline: Duration,
     /// Memory that it takes while it is held.
     pub held_bytes: usize,
 }
@@ -78,7 +78,7 @@
     /// It is refused.
     Refused {
         /// Time after which there should be room to hold it, if that is known.
-        room_in: Option<Duration>,
+        retry_after: Option<Duration>,
     },
 }
 
@@ -103,7 +103,7 @@
     /// What was handed in with it.
     pub ticket: T,
     /// Why it is held no longer.
-    pub outcome: ReleaseReason,
+    pub reason: ReleaseReason,
 }
 
 /// Why a request is held no longer.
@@ -116,7 +116,7 @@
     /// The room that was expected doesn't come.
     NoRoom {
         /// Time after which there should be room to hold it, if that is known.
-        room_in: Option<Duration>,
+        retry_after: Option<Duration>,
     },
 }
 
@@ -180,9 +180,9 @@
     // Learning
 
     /// A request on a route was answered, so long after it had been let in.
-    pub fn answered(&mut self, route: &str, took: Duration) {
+    pub fn on_answer(&mut self, route: &str, took: Duration) {
         if let Some(needed) = self.needed.get_mut(route) {
-            needed.add(took);
+            needed.observe(took);
         } else if self.needed.len() < LINES_LIMIT_COUNT {
             let needed = LatencyEstimate::first(took);
             self.needed.insert(String::from(route), needed);
@@ -215,15 +215,15 @@
         random: &mut impl Rng,
     ) -> HoldDecision {
         if !self.make_line(now, request, random) {
-            return by_chance(request.chance, random);
+            return by_chance(request.admission_probability, random);
         }
         let latest = self.latest_start(request);
         let has_memory = self.has_memory(request.held_bytes);
-        let Some(line) = self.lines.get_mut(request.line) else {
-            return HoldDecision::Refused { room_in: None };
+        let Some(line) = self.lines.get_mut(request.flow) else {
+            return HoldDecision::Refused { retry_after: None };
         };
         line.arrive(now);
-        line.earn(now, request.chance);
+        line.earn(now, request.admission_probability);
         let can_wait = latest.map_or(Duration::ZERO, |latest| latest.saturating_sub(now));
         let is_holdable = has_memory && can_wait >= LEAST_WAIT;
         let goes_first = line.held.is_empty() || !is_holdable;
@@ -236,7 +236,9 @@
         let fits = is_holdable && expected.is_some_and(|expected| expected <= longest);
         let Some(latest) = latest.filter(|_| fits) else {
             let room_in = expected.map(|expected| expected.saturating_sub(longest));
-            return HoldDecision::Refused { room_in };
+            return HoldDecision::Refused {
+                retry_after: room_in,
+            };
         };
         self.last_number += 1;
         let place = HeldPlace {
@@ -247,7 +249,7 @@
         line.hold(now, place, HeldRequest { ticket, held_bytes }, spread);
         self.held_count += 1;
         self.held_bytes += held_bytes;
-        let line = request.line.clone();
+        let line = request.flow.clone();
         HoldDecision::Held(HoldKey { line, place })
     }
 
@@ -261,7 +263,7 @@
     }
 
     /// Takes out all that are held.
-    pub fn take_all(&mut self) -> Vec<T> {
+    pub fn withdraw_all(&mut self) -> Vec<T> {
         self.held_count = 0;
         self.held_bytes = 0;
         let lines = self.lines.values_mut();
@@ -293,7 +295,7 @@
         }
         let released = released.into_iter().map(|(held, outcome)| ReleasedRequest {
             ticket: held.ticket,
-            outcome,
+            reason: outcome,
         });
         released.collect()
     }
@@ -301,8 +303,8 @@
     /// The last moment at which a request can be let in and be answered in time; `None` if it
     /// isn't known how long that takes.
     fn latest_start(&self, request: &HoldRequest<'_>) -> Option<Duration> {
-        let needed = self.needed.get(&request.line.route)?;
-        request.due.checked_sub(needed.time())
+        let needed = self.needed.get(&request.flow.route)?;
+        request.soft_deadline.checked_sub(needed.upper_bound())
     }
 
     fn has_memory(&self, bytes: usize) -> bool {
@@ -316,7 +318,7 @@
         request: &HoldRequest<'_>,
         random: &mut impl Rng,
     ) -> bool {
-        let known = self.lines.get(request.line);
+        let known = self.lines.get(request.flow);
         let is_new = known.is_none();
         if known.is_some_and(|line| line.is_remembered(now)) {
             return true;
@@ -328,8 +330,8 @@
             return false;
         }
         // Entries that see few requests each would otherwise all refuse their first ones.
-        let line = Line::new(now, request.chance, random.random());
-        self.lines.insert(request.line.clone(), line);
+        let line = Line::new(now, request.admission_probability, random.random());
+        self.lines.insert(request.flow.clone(), line);
         true
     }
 }
@@ -339,7 +341,7 @@
     if random.random::<f64>() < chance {
         HoldDecision::Admitted
     } else {
-        HoldDecision::Refused { room_in: None }
+        HoldDecision::Refused { retry_after: None }
     }
 }
 
@@ -442,7 +444,12 @@
         while let Some(room_in) = self.is_hopeless(now)
             && let Some((_, held)) = self.held.pop_last()
         {
-            released.push((held, ReleaseReason::NoRoom { room_in }));
+            released.push((
+                held,
+                ReleaseReason::NoRoom {
+                    retry_after: room_in,
+                },
+            ));
         }
     }
 
--- a/crates/kumquatquay-core/src/routed/fair_shares.rs
+++ b/crates/kumquatquay-core/src/routed/fair_shares.rs
@@ -67,7 +67,7 @@
     /// few requests of a calm workspace that each one would look like many. Without any room
     /// nobody has a chance. Claimants are workspaces, or the routes of callers that belong to
     /// none.
-    pub fn ask(
+    pub fn on_request(
         &mut self,
         now: Duration,
         group: &ShareGroup,
--- a/crates/kumquatquay-core/src/routed/gate_retries.rs
+++ b/crates/kumquatquay-core/src/routed/gate_retries.rs
@@ -38,7 +38,7 @@
     /// Whether a person sent it; otherwise a run makes it, mostly one of several.
     pub is_from_outside: bool,
     /// How often it was handed over.
-    pub hand_overs_count: u32,
+    pub attempts_count: u32,
 }
 
 impl GateRetries {
@@ -51,7 +51,7 @@
     }
 
     /// A call is handed over for the first time.
-    pub fn on_call(&mut self, now: Duration) {
+    pub fn on_first_attempt(&mut self, now: Duration) {
         self.window.on_requests(now, 1.0);
     }
 
@@ -62,13 +62,13 @@
     }
 
     /// Whether a call is handed over again; it then counts as a repeat.
-    pub fn take(&mut self, now: Duration, call: RejectedCall) -> bool {
+    pub fn try_retry(&mut self, now: Duration, call: RejectedCall) -> bool {
         let is_worth_it = call.is_from_outside || self.turned_away_ratio < INNER_RATIO;
-        let may = call.hand_overs_count < HAND_OVERS_LIMIT_COUNT && is_worth_it;
+        let may = call.attempts_count < HAND_OVERS_LIMIT_COUNT && is_worth_it;
         if !may || !self.window.has_room(now, 1.0) {
             return false;
         }
-        self.window.on_repeats(now, 1.0);
+        self.window.on_retries(now, 1.0);
         true
     }
 }
--- a/crates/kumquatquay-core/src/routed/held_answers.rs
+++ b/crates/kumquatquay-core/src/routed/held_answers.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether a request may be started whose answer will have to wait for others.
-    pub fn has_room_early(&self) -> bool {
+    pub fn has_room_for_pipelined(&self) -> bool {
         (self.held_bytes as f64) < self.memory_bytes as f64 * EARLY_RATIO
     }
 }
--- a/crates/kumquatquay-core/src/routed/host_gate.rs
+++ b/crates/kumquatquay-core/src/routed/host_gate.rs
@@ -69,13 +69,13 @@
     /// Rank of the whole request that it belongs to. Calls on one route are made for requests
     /// of all ranks; run in the order of their arrival, a service that is short turns away as
     /// many of the important as of the others.
-    pub whole_priority: Priority,
+    pub request_priority: Priority,
     /// When its answer is due to be worth most.
-    pub due: Duration,
+    pub soft_deadline: Duration,
     /// When it must have ended.
     pub deadline: Duration,
     /// How long it is expected to run.
-    pub work: Duration,
+    pub run_time: Duration,
 }
 
 /// How busy a backend server says it is, in an answer.
@@ -163,7 +163,7 @@
 
     /// Takes the calls of all routes to be alike.
     #[must_use]
-    pub fn without_route_works(self) -> Self {
+    pub fn without_route_run_times(self) -> Self {
         Self {
             works: self.works.without_routes(),
             ..self
@@ -203,12 +203,12 @@
         self.last_sequence += 1;
         let key = GateQueueKey {
             priority: call.priority,
-            whole_priority: call.whole_priority,
-            is_late: self.is_late(now, call.work, call.due),
-            due: call.due,
+            whole_priority: call.request_priority,
+            is_late: self.is_late(now, call.run_time, call.soft_deadline),
+            due: call.soft_deadline,
             sequence: self.last_sequence,
         };
-        let work = call.work;
+        let work = call.run_time;
         let ahead = self.ahead_of(key);
         let limit_wait = self.server_limit.wait(now, ahead.calls_count);
         let wait = self.time_for(ahead.work).max(limit_wait);
@@ -311,14 +311,14 @@
 
     /// Time until the backend server's rate limit lets the next call begin; `None` if none waits
     /// for that.
-    pub fn limit_wait(&self, now: Duration) -> Option<Duration> {
+    pub fn rate_limit_wait(&self, now: Duration) -> Option<Duration> {
         let waits = !self.waiting.is_empty() && self.running_count < self.limit_count();
         let wait = self.server_limit.wait(now, 0);
         (waits && !wait.is_zero()).then_some(wait)
     }
 
     /// Whether a running call that was turned away may be handed over once more.
-    pub fn may_hand_over_again(&mut self, now: Duration) -> bool {
+    pub fn try_forward_again(&mut self, now: Duration) -> bool {
         let has_token = self.server_limit.has_token(now);
         if has_token {
             self.server_limit.take(now);
@@ -327,7 +327,7 @@
     }
 
     /// A call that was let run has ended without reaching the backend server.
-    pub fn not_handed_over(&mut self, now: Duration) {
+    pub fn not_forwarded(&mut self, now: Duration) {
         self.ended(None);
         self.server_limit.give_back(now);
     }
@@ -336,7 +336,7 @@
     pub fn ended(&mut self, run: Option<RouteRunTime<'_>>) {
         self.running_count = self.running_count.saturating_sub(1);
         if let Some(run) = run {
-            self.works.ended(run);
+            self.works.record(run);
         }
     }
 
@@ -359,22 +359,22 @@
     }
 
     /// Mean time that a call takes to run.
-    pub fn work(&self) -> Duration {
+    pub fn mean_run_time(&self) -> Duration {
         self.works.mean()
     }
 
     /// How long calls of each route run.
-    pub fn works(&self) -> &RouteRunTimes {
+    pub fn run_times(&self) -> &RouteRunTimes {
         &self.works
     }
 
     /// The rate limit that the backend server advertises.
-    pub fn server_limit(&self) -> &ServerRateLimit {
+    pub fn rate_limit(&self) -> &ServerRateLimit {
         &self.server_limit
     }
 
     /// The same, to take in what it says.
-    pub fn server_limit_mut(&mut self) -> &mut ServerRateLimit {
+    pub fn rate_limit_mut(&mut self) -> &mut ServerRateLimit {
         &mut self.server_limit
     }
 
@@ -391,7 +391,7 @@
     /// of the machine's pace a gate knows nothing.
     pub fn report(&self, now: Duration, level: f64) -> GateReport {
         let work = if self.works.is_known() {
-            self.work()
+            self.mean_run_time()
         } else {
             Duration::ZERO
         };
@@ -411,7 +411,9 @@
     fn slots(&self) -> f64 {
         let slots = self.limit_count().max(1) as f64;
         let by_rate = self.server_limit.per_s();
-        by_rate.map_or(slots, |per_s| slots.min(per_s * self.work().as_secs_f64()))
+        by_rate.map_or(slots, |per_s| {
+            slots.min(per_s * self.mean_run_time().as_secs_f64())
+        })
     }
 
     fn ahead_of(&self, key: GateQueueKey) -> Ahead {
--- a/crates/kumquatquay-core/src/routed/latency_estimate.rs
+++ b/crates/kumquatquay-core/src/routed/latency_estimate.rs
@@ -29,14 +29,14 @@
     }
 
     /// Takes in one more.
-    pub(super) fn add(&mut self, took: Duration) {
+    pub(super) fn observe(&mut self, took: Duration) {
         let off_s = took.as_secs_f64() - self.mean_s;
         self.deviation_s += DEVIATION_WEIGHT * (off_s.abs() - self.deviation_s);
         self.mean_s += NEW_WEIGHT * off_s;
     }
 
     /// Time within which nearly all end.
-    pub(super) fn time(self) -> Duration {
+    pub(super) fn upper_bound(self) -> Duration {
         Duration::from_secs_f64(self.mean_s + DEVIATIONS_COUNT * self.deviation_s)
     }
 }
--- a/crates/kumquatquay-core/src/routed/level_controller.rs
+++ b/crates/kumquatquay-core/src/routed/level_controller.rs
@@ -105,7 +105,7 @@
     ///
     /// One that finds no room at several gates counts at each of them: it stands for the
     /// further calls that its run would have made, and that aren't made now.
-    pub fn arrived(&mut self, heard: f64, work: Duration) {
+    pub fn on_arrival(&mut self, heard: f64, work: Duration) {
         self.ask(work);
         self.heard_sum += heard;
         self.heard_count += 1;
--- a/crates/kumquatquay-core/src/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/src/routed/load_balancer.rs
@@ -121,7 +121,7 @@
     /// The backend server's life.
     pub life: Option<BackendLife>,
     /// Mean time that it takes to run a call.
-    pub work: Duration,
+    pub mean_run_time: Duration,
     /// The rate limit that the backend server told this node.
     pub known_limit: Option<KnownLimit>,
 }
@@ -206,7 +206,7 @@
     }
 
     /// Whether the backend server of a service fails far more runs than its peers.
-    pub fn is_out_of_line(&self, service: &str, control: SocketAddr) -> bool {
+    pub fn is_ejected(&self, service: &str, control: SocketAddr) -> bool {
         let out_of_line = self.out_of_line.get(service);
         out_of_line.is_some_and(|known| known.contains(control))
     }
@@ -226,14 +226,14 @@
     }
 
     /// Backend servers that were left nearly alone, or called again, since this was asked last.
-    pub fn take_line_changes(&mut self) -> Vec<OutlierChange> {
+    pub fn take_outlier_changes(&mut self) -> Vec<OutlierChange> {
         std::mem::take(&mut self.line_changes)
     }
 
     /// The best backend server of a service for a call that was not yet sent to
     /// those in `excluded`; it counts as sent. A call that `may_repeat` may be the one that
     /// tries a server that failed.
-    pub fn choose(
+    pub fn pick(
         &mut self,
         now: Duration,
         service: &str,
@@ -247,7 +247,7 @@
             .copied()
             .filter(|control| !excluded.contains(control) && self.targets[control].is_open(now));
         let (failing, sound): (Vec<_>, Vec<_>) =
-            open.partition(|control| self.is_out_of_line(service, *control));
+            open.partition(|control| self.is_ejected(service, *control));
         let tries_failing = may_repeat && random.random_ratio(1, TRIAL_INTERVAL_COUNT);
         let open = if sound.is_empty() || (tries_failing && !failing.is_empty()) {
             failing
@@ -277,13 +277,13 @@
             control,
             peer: target.peer,
             life: target.life.clone(),
-            work: Duration::from_secs_f64(work_s),
+            mean_run_time: Duration::from_secs_f64(work_s),
             known_limit,
         })
     }
 
     /// A call to a target ended.
-    pub fn ended(
+    pub fn on_ended(
         &mut self,
         now: Duration,
         control: SocketAddr,
@@ -330,7 +330,7 @@
 
     /// A backend server has told this node its rate limit with an answer, or that it has none. It
     /// is remembered also while the host isn't a target.
-    pub fn on_limit(&mut self, now: Duration, life: &BackendLife, rate: Option<RateReport>) {
+    pub fn on_rate_limit(&mut self, now: Duration, life: &BackendLife, rate: Option<RateReport>) {
         self.told_lives.on_limit(now, life, rate);
     }
 
@@ -350,7 +350,7 @@
 
     /// Whether backend servers of a service are left out now because they take no more calls a
     /// second.
-    pub fn is_limited(&self, now: Duration, service: &str) -> bool {
+    pub fn is_rate_limited(&self, now: Duration, service: &str) -> bool {
         let controls = self.services.get(service).into_iter().flatten();
         let mut targets = controls.map(|control| &self.targets[control]);
         targets.any(|target| now < target.limited_until)
@@ -358,7 +358,7 @@
 
     /// A node can't be reached; it gets no calls until it is [`reached`](Self::reached).
     /// Whether it is known here.
-    pub fn lost(&mut self, peer: SocketAddr) -> bool {
+    pub fn mark_unreachable(&mut self, peer: SocketAddr) -> bool {
         let mut is_known = false;
         for target in self.targets.values_mut() {
             if target.peer == peer {
@@ -370,7 +370,7 @@
     }
 
     /// A node that could not be reached has answered.
-    pub fn reached(&mut self, peer: SocketAddr) {
+    pub fn mark_reachable(&mut self, peer: SocketAddr) {
         let targets = self.targets.values_mut();
         for target in targets.filter(|target| target.peer == peer) {
             target.is_lost = false;
--- a/crates/kumquatquay-core/src/routed/machine_slowdown.rs
+++ b/crates/kumquatquay-core/src/routed/machine_slowdown.rs
@@ -26,7 +26,7 @@
 
 impl MachineSlowdown {
     /// Takes in how long work takes over its usual time; a senseless figure is passed over.
-    pub fn on_told(&mut self, now: Duration, ratio: f64) {
+    pub fn on_report(&mut self, now: Duration, ratio: f64) {
         if (LEAST_RATIO..=MOST_RATIO).contains(&ratio) {
             self.told = Some(Told { at: now, ratio });
         }
--- a/crates/kumquatquay-core/src/routed/mod.rs
+++ b/crates/kumquatquay-core/src/routed/mod.rs
@@ -81,4 +81,4 @@
 pub use store_readers::StoreReaders;
 pub use unknown_keys::UnknownKeys;
 pub use weighted_split::WeightedSplit;
-pub use workspaces::{CallerIdentity, PresentedKey, Workspaces, whole_rank};
+pub use workspaces::{CallerIdentity, PresentedKey, Workspaces, request_priority};
--- a/crates/kumquatquay-core/src/routed/outlier_detector.rs
+++ b/crates/kumquatquay-core/src/routed/outlier_detector.rs
@@ -20,11 +20,11 @@
     /// Control address of the node beside it.
     pub control: SocketAddr,
     /// Whether it is left nearly alone.
-    pub is_out: bool,
+    pub is_ejected: bool,
     /// Share of its last runs that failed by its own doing.
     pub failed_ratio: f64,
     /// That of the middle one of its service.
-    pub middle_ratio: f64,
+    pub median_ratio: f64,
 }
 
 /// The backend servers of one service that fail far more runs than the others.
@@ -70,9 +70,9 @@
         let changes = changed.map(|(control, failed_ratio)| OutlierChange {
             service: ServiceName::from(service),
             control: *control,
-            is_out: out.contains(control),
+            is_ejected: out.contains(control),
             failed_ratio: *failed_ratio,
-            middle_ratio,
+            median_ratio: middle_ratio,
         });
         let changes = changes.collect();
         self.controls = out;
--- a/crates/kumquatquay-core/src/routed/retry_budget.rs
+++ b/crates/kumquatquay-core/src/routed/retry_budget.rs
@@ -57,7 +57,7 @@
     }
 
     /// Counts repeats that are made.
-    pub fn on_repeats(&mut self, now: Duration, count: f64) {
+    pub fn on_retries(&mut self, now: Duration, count: f64) {
         self.part_at(now).repeats_count += count;
     }
 
--- a/crates/kumquatquay-core/src/routed/route_run_times.rs
+++ b/crates/kumquatquay-core/src/routed/route_run_times.rs
@@ -24,7 +24,7 @@
     /// The route.
     pub route: &'a str,
     /// How long.
-    pub work: Duration,
+    pub run_time: Duration,
 }
 
 /// How long calls run, by route.
@@ -67,8 +67,11 @@
     }
 
     /// A call has run to its end.
-    pub fn ended(&mut self, run: RouteRunTime<'_>) {
-        let RouteRunTime { route, work } = run;
+    pub fn record(&mut self, run: RouteRunTime<'_>) {
+        let RouteRunTime {
+            route,
+            run_time: work,
+        } = run;
         let work_s = work.as_secs_f64();
         self.all.add(work_s);
         for known in self.routes.values_mut() {
@@ -95,7 +98,7 @@
     }
 
     /// Mean time of a call on a route, if one has ended.
-    pub fn known(&self, route: &str) -> Option<Duration> {
+    pub fn route_mean(&self, route: &str) -> Option<Duration> {
         if self.is_by_route_off {
             return None;
         }
@@ -104,8 +107,8 @@
     }
 
     /// Mean time of a call on a route; that of all calls while none has ended.
-    pub fn of(&self, route: &str) -> Duration {
-        self.known(route).unwrap_or_else(|| self.mean())
+    pub fn estimate(&self, route: &str) -> Duration {
+        self.route_mean(route).unwrap_or_else(|| self.mean())
     }
 
     /// Mean time of a call.
@@ -130,7 +133,7 @@
     pub fn routes(&self) -> Vec<RouteRunTime<'_>> {
         let known = self.routes.iter().map(|(route, work)| RouteRunTime {
             route,
-            work: Duration::from_secs_f64(work.mean.work_s),
+            run_time: Duration::from_secs_f64(work.mean.work_s),
         });
         let mut known: Vec<_> = known.collect();
         known.sort_by_key(|known| known.route);
--- a/crates/kumquatquay-core/src/routed/route_table.rs
+++ b/crates/kumquatquay-core/src/routed/route_table.rs
@@ -10,7 +10,7 @@
     routed::{CallerLimits, Priority, RouteConfiguration, RouteSettings, RouteVersion},
 };
 
-use super::{WeightedSplit, Workspaces, whole_rank};
+use super::{WeightedSplit, Workspaces, request_priority};
 
 /// A configuration, laid out for finding routes.
 ///
@@ -44,7 +44,7 @@
     pub fn new(configuration: RouteConfiguration, phase: f64) -> Self {
         let routes = configuration.hosts.iter().flat_map(|host| &host.routes);
         let priorities = routes
-            .map(|route| (route.name.clone(), whole_rank(route, None)))
+            .map(|route| (route.name.clone(), request_priority(route, None)))
             .collect();
         let health_paths = configuration.services.iter();
         let health_paths = health_paths
--- a/crates/kumquatquay-core/src/routed/run_failures.rs
+++ b/crates/kumquatquay-core/src/routed/run_failures.rs
@@ -49,7 +49,7 @@
     }
 
     /// A call that some run of the backend server made has failed.
-    pub fn call_lost(&mut self, now: Duration) {
+    pub fn call_failed(&mut self, now: Duration) {
         self.forget_excuses(now);
         if self.excuses.len() < EXCUSES_LIMIT_COUNT {
             self.excuses.push(now);
@@ -57,12 +57,12 @@
     }
 
     /// A run brought what it was asked for.
-    pub fn ended_well(&mut self) {
+    pub fn succeeded(&mut self) {
         self.observe(0.0);
     }
 
     /// The backend server turned a call away.
-    pub fn turned_away(&mut self) {
+    pub fn rejected(&mut self) {
         self.observe(1.0);
     }
 
--- a/crates/kumquatquay-core/src/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/src/routed/server_rate_limit.rs
@@ -111,7 +111,7 @@
     /// A node that was started again beside a limited backend server knows of no limit until an
     /// answer comes, and by then the whole load may have been handed over. Its callers know. Once
     /// the backend server itself has answered here, they know nothing better.
-    pub fn on_told(
+    pub fn on_caller_report(
         &mut self,
         now: Duration,
         life: &BackendLife,
--- a/crates/kumquatquay-core/src/routed/unknown_keys.rs
+++ b/crates/kumquatquay-core/src/routed/unknown_keys.rs
@@ -22,7 +22,7 @@
 
 impl UnknownKeys {
     /// No workspace holds a key, as was proved now.
-    pub fn add(&mut self, now: Duration, key: KeyDigest) {
+    pub fn insert(&mut self, now: Duration, key: KeyDigest) {
         if self.known.len() >= LIMIT_COUNT && !self.known.contains_key(&key) {
             self.make_room(now);
         }
@@ -30,7 +30,7 @@
     }
 
     /// Whether a key was found to be one of nobody lately.
-    pub fn has(&self, now: Duration, key: KeyDigest) -> bool {
+    pub fn contains(&self, now: Duration, key: KeyDigest) -> bool {
         let found_out = self.known.get(&key);
         found_out.is_some_and(|found_out| now < *found_out + REMEMBERED)
     }
--- a/crates/kumquatquay-core/src/routed/workspaces.rs
+++ b/crates/kumquatquay-core/src/routed/workspaces.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether any route may ask for a key.
-    pub fn ask_for_keys(&self) -> bool {
+    pub fn require_keys(&self) -> bool {
         self.asks_for_keys
     }
 
@@ -106,7 +106,7 @@
 ///
 /// Workspaces of one rank send requests of all kinds. Without the second part a filing would be
 /// refused for a shortage as often as a look-up beside it.
-pub fn whole_rank(route: &RouteSettings, workspace: Option<&WorkspaceSettings>) -> Priority {
+pub fn request_priority(route: &RouteSettings, workspace: Option<&WorkspaceSettings>) -> Priority {
     let own = workspace.and_then(|workspace| workspace.priority);
     let first = own.unwrap_or(route.priority);
     let second = route.priority.min(ROUTE_RANKS_COUNT - 1);
--- a/crates/kumquatquay-core/tests/routed/backend_liveness.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_liveness.rs
@@ -14,7 +14,7 @@
 fn hanging_calls_without_any_answer_are_silence() {
     let mut pulse = BackendLiveness::default();
     for call in 0..10 {
-        pulse.began(at_ms(call * 5));
+        pulse.call_started(at_ms(call * 5));
     }
     assert!(!pulse.is_silent(at_ms(500), WORK));
     assert!(pulse.is_silent(at_ms(700), WORK));
@@ -25,12 +25,12 @@
 fn a_slow_one_is_not_silent() {
     let mut pulse = BackendLiveness::default();
     for call in 0..20 {
-        pulse.began(at_ms(call * 10));
+        pulse.call_started(at_ms(call * 10));
     }
     for answer in 1..20 {
         let now = at_ms(200 * answer);
         assert!(!pulse.is_silent(now, WORK));
-        pulse.ended(now, true);
+        pulse.call_ended(now, true);
     }
 }
 
@@ -38,7 +38,7 @@
 #[test]
 fn one_call_may_take_long() {
     let mut pulse = BackendLiveness::default();
-    pulse.began(at_ms(0));
+    pulse.call_started(at_ms(0));
     assert!(!pulse.is_silent(at_ms(5_000), WORK));
 }
 
@@ -46,9 +46,9 @@
 fn calls_that_are_given_up_are_no_sign() {
     let mut pulse = BackendLiveness::default();
     for _ in 0..4 {
-        pulse.began(at_ms(0));
+        pulse.call_started(at_ms(0));
     }
-    pulse.ended(at_ms(690), false);
+    pulse.call_ended(at_ms(690), false);
     assert!(pulse.is_silent(at_ms(700), WORK));
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn an_idle_one_is_not_silent() {
     let mut pulse = BackendLiveness::default();
-    pulse.began(at_ms(3_600_000));
-    pulse.began(at_ms(3_600_001));
+    pulse.call_started(at_ms(3_600_000));
+    pulse.call_started(at_ms(3_600_001));
     assert!(!pulse.is_silent(at_ms(3_600_100), WORK));
 }
--- a/crates/kumquatquay-core/tests/routed/call_mesh.rs
+++ b/crates/kumquatquay-core/tests/routed/call_mesh.rs
@@ -147,7 +147,7 @@
             let mut gate = if settings.has_route_works {
                 gate
             } else {
-                gate.without_route_works()
+                gate.without_route_run_times()
             };
             gate.set_limit_count(settings.slots_count / settings.gates_count);
             Gate {
@@ -181,7 +181,7 @@
     pub(crate) fn limit_gates(&mut self, gates_count: usize, per_s: f64) {
         let life = BackendLife::untold("limited");
         for gate in &mut self.gates[..gates_count] {
-            let limit = gate.gate.server_limit_mut();
+            let limit = gate.gate.rate_limit_mut();
             limit.on_life(&life);
             let advertised = AdvertisedRateLimit::PerSecond(per_s);
             limit.on_answer(Duration::ZERO, &life, Duration::ZERO, advertised);
@@ -249,7 +249,7 @@
             route: settings.route,
             service: settings.route,
             priority: settings.rank,
-            place: self.random.random(),
+            tie_breaker: self.random.random(),
         };
         let admitted = self.entries[entry].admit(now, &request, &self.ranks);
         let call = Call {
@@ -311,14 +311,14 @@
         let known = self.entries[call.entry].level(now, SERVICE);
         let heard = known.map_or(1.0, |(level, _)| level);
         let to = &mut self.gates[gate];
-        let work = to.gate.works().of(kind.route);
-        to.level.arrived(heard, work);
+        let work = to.gate.run_times().estimate(kind.route);
+        to.level.on_arrival(heard, work);
         let asked = GateCall {
             priority: 0,
-            whole_priority: kind.rank,
-            due: now + kind.call_target_latency,
+            request_priority: kind.rank,
+            soft_deadline: now + kind.call_target_latency,
             deadline: call.came + kind.timeout,
-            work,
+            run_time: work,
         };
         let lost = match to.gate.offer(now, asked, call) {
             Admission::Run => {
@@ -341,7 +341,7 @@
     }
 
     fn admit_later(&mut self, now: Duration, gate: usize) {
-        if let Some(wait) = self.gates[gate].gate.limit_wait(now) {
+        if let Some(wait) = self.gates[gate].gate.rate_limit_wait(now) {
             self.at(now + wait, Event::Admit { gate });
         }
     }
@@ -388,9 +388,10 @@
         if (self.watched_from..self.watched_until).contains(&now) {
             self.busy += work;
         }
-        self.gates[gate]
-            .gate
-            .ended(Some(RouteRunTime { route, work }));
+        self.gates[gate].gate.ended(Some(RouteRunTime {
+            route,
+            run_time: work,
+        }));
         self.admit_waiting(now, gate);
         self.tell(now, gate, call);
         let call = Call {
@@ -424,7 +425,11 @@
             return;
         }
         *told = now;
-        let work = from.gate.works().known(kind.route).unwrap_or_default();
+        let work = from
+            .gate
+            .run_times()
+            .route_mean(kind.route)
+            .unwrap_or_default();
         let one = ServiceDemand {
             service: String::from(SERVICE),
             calls: 1.0,
@@ -436,7 +441,7 @@
             leads_to: vec![one.scaled(kind.calls_count as f32)],
         };
         let makes_sense =
-            self.entries[call.entry].on_route(now, kind.route, kind.route, address, news);
+            self.entries[call.entry].on_route_update(now, kind.route, kind.route, address, news);
         assert!(makes_sense);
     }
 
--- a/crates/kumquatquay-core/tests/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_admission.rs
@@ -42,7 +42,7 @@
             is_settled: true,
             leads_to,
         };
-        levels.on_route(at_ms(0), route, service, gate(1), news);
+        levels.on_route_update(at_ms(0), route, service, gate(1), news);
     }
     levels
 }
@@ -71,7 +71,7 @@
         route,
         service,
         priority,
-        place,
+        tie_breaker: place,
     };
     levels.admit(at_ms(at), &request, &ranks())
 }
@@ -138,11 +138,15 @@
 fn the_work_of_a_request_is_the_slot_time_of_its_calls() {
     let mut levels = levels();
     report_level(&mut levels, 0, 1, 0.5);
-    let works = levels.work_at(at_ms(1), "history", "archive");
+    let works = levels.work_by_service(at_ms(1), "history", "archive");
     let register = works.iter().find(|work| work.service == "register");
     let work = register.expect("histories lead to the register").work;
     assert!(work.abs_diff(Duration::from_millis(176)) < Duration::from_millis(1));
-    assert!(levels.work_at(at_ms(1), "unheard", "archive").is_empty());
+    assert!(
+        levels
+            .work_by_service(at_ms(1), "unheard", "archive")
+            .is_empty()
+    );
 }
 
 /// A backend server has joined and has run no call yet. Its gate reports a run time of 0, which
@@ -157,7 +161,7 @@
         ..GateReport::default()
     };
     levels.on_gate(at_ms(0), "register", gate(2), &joined);
-    let works = levels.work_at(at_ms(1), "history", "archive");
+    let works = levels.work_by_service(at_ms(1), "history", "archive");
     let register = works.iter().find(|work| work.service == "register");
     let work = register.expect("histories lead to the register").work;
     assert!(work.abs_diff(Duration::from_millis(176)) < Duration::from_millis(1));
@@ -178,8 +182,11 @@
         report_level(&mut levels, at, 1, 0.5);
     }
     let shortage = refusal(&mut levels, 10_000, "history");
-    assert!((shortage.chance - 0.25).abs() < 0.02, "{shortage:?}");
-    assert!(shortage.lasts >= Duration::from_millis(9_900));
+    assert!(
+        (shortage.admission_probability - 0.25).abs() < 0.02,
+        "{shortage:?}"
+    );
+    assert!(shortage.duration >= Duration::from_millis(9_900));
 }
 
 /// The duration of a shortage doesn't include an earlier one that had ended.
@@ -193,7 +200,7 @@
     }
     report_level(&mut levels, 6_300, 1, 0.1);
     let shortage = refusal(&mut levels, 6_300, "history");
-    assert_eq!(shortage.lasts, Duration::from_millis(300));
+    assert_eq!(shortage.duration, Duration::from_millis(300));
 }
 
 /// No node reaches the register any more, and its last report was that it has no room. If
@@ -218,7 +225,7 @@
         is_settled: false,
         leads_to: vec![demand("archive", 1.0)],
     };
-    levels.on_route(at_ms(100), "history", "archive", gate(1), news);
+    levels.on_route_update(at_ms(100), "history", "archive", gate(1), news);
     report_level(&mut levels, 100, 1, 0.02);
     assert!(!is_admitted(&mut levels, 101, "history", 0.9));
 }
@@ -234,11 +241,11 @@
         is_settled,
         leads_to,
     };
-    levels.on_route(at_ms(0), "upload", "survey", gate(number), news);
+    levels.on_route_update(at_ms(0), "upload", "survey", gate(number), news);
 }
 
 fn calls_of_uploads(levels: &EntryAdmission) -> f32 {
-    let leads_to = levels.leads_to(at_ms(1), "upload", "survey").iter();
+    let leads_to = levels.demands(at_ms(1), "upload", "survey").iter();
     let calls = leads_to.filter(|demand| demand.service == "register");
     calls.map(|demand| demand.calls).sum()
 }
@@ -326,7 +333,7 @@
             is_settled: true,
             leads_to: vec![demand("register", calls)],
         };
-        assert!(!levels.on_route(at_ms(0), "upload", "survey", gate(9), news));
+        assert!(!levels.on_route_update(at_ms(0), "upload", "survey", gate(9), news));
     }
     assert_eq!(calls_of_uploads(&levels), 0.0);
     offer(&mut levels);
@@ -353,7 +360,7 @@
             is_settled: true,
             leads_to: vec![demand(service, 1.0), register],
         };
-        assert!(levels.on_route(at_ms(0), route, service, gate(1), news));
+        assert!(levels.on_route_update(at_ms(0), route, service, gate(1), news));
     }
     for _ in 0..200 {
         is_admitted(&mut levels, 0, "history", 0.0);
@@ -380,9 +387,9 @@
         }],
     };
     let gate = gate(2);
-    assert!(!levels.on_route(at_ms(0), "history", "archive", gate, update(u32::MAX)));
-    assert!(!levels.on_route(at_ms(0), "history", "archive", gate, update(177_000_000)));
-    assert!(levels.on_route(at_ms(0), "history", "archive", gate, update(1_760_000)));
+    assert!(!levels.on_route_update(at_ms(0), "history", "archive", gate, update(u32::MAX)));
+    assert!(!levels.on_route_update(at_ms(0), "history", "archive", gate, update(177_000_000)));
+    assert!(levels.on_route_update(at_ms(0), "history", "archive", gate, update(1_760_000)));
 }
 
 quickcheck! {
@@ -406,7 +413,7 @@
                 is_settled,
                 leads_to: vec![demand("register", calls)],
             };
-            levels.on_route(at_ms(0), route, service, gate(3), news);
+            levels.on_route_update(at_ms(0), route, service, gate(3), news);
         }
         let report = GateReport {
             limit_count: 30,
@@ -417,7 +424,7 @@
         };
         levels.on_gate(at_ms(1), "register", gate(4), &report);
         offer_at(&mut levels, 1);
-        let all = ROUTES.iter().flat_map(|(route, ..)| levels.leads_to_all(at_ms(1), route));
+        let all = ROUTES.iter().flat_map(|(route, ..)| levels.all_demands(at_ms(1), route));
         let are_valid = all.into_iter().all(|demand| demand.calls.is_finite() && demand.calls >= 0.0);
         are_valid && is_admitted(&mut levels, 1, "upload", 0.99)
     }
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -26,16 +26,16 @@
 fn queue<T>() -> EntryQueue<T> {
     let mut queue = EntryQueue::default();
     for _ in 0..200 {
-        queue.answered("timetable", NEEDED);
+        queue.on_answer("timetable", NEEDED);
     }
     queue
 }
 
 fn offer(queue: &mut EntryQueue<u32>, at: u64, chance: f64, ticket: u32) -> HoldDecision {
     let request = HoldRequest {
-        line: &line(2),
-        chance,
-        due: at_ms(at) + TARGET,
+        flow: &line(2),
+        admission_probability: chance,
+        soft_deadline: at_ms(at) + TARGET,
         held_bytes: 1_000,
     };
     let mut random = StdRng::seed_from_u64(u64::from(ticket));
@@ -50,7 +50,7 @@
 }
 
 fn outcomes(released: &[ReleasedRequest<u32>]) -> Vec<ReleaseReason> {
-    released.iter().map(|released| released.outcome).collect()
+    released.iter().map(|released| released.reason).collect()
 }
 
 #[test]
@@ -72,7 +72,7 @@
         .find_map(|at| queue.release(at_ms(at), |_| 1.0).pop());
     let released = released.unwrap();
     assert_eq!(released.ticket, ticket);
-    assert_eq!(released.outcome, ReleaseReason::RoomAvailable);
+    assert_eq!(released.reason, ReleaseReason::RoomAvailable);
     assert_eq!((queue.held_count(), queue.held_bytes()), (0, 0));
 }
 
@@ -107,7 +107,7 @@
 fn a_request_that_would_be_late_anyway_is_not_held() {
     let mut queue = EntryQueue::default();
     for _ in 0..200 {
-        queue.answered("timetable", TARGET);
+        queue.on_answer("timetable", TARGET);
     }
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.2, ticket);
@@ -157,7 +157,7 @@
     let mut queue = queue();
     held(&mut queue, 0, 0.5);
     held(&mut queue, 10, 0.5);
-    assert_eq!(queue.take_all().len(), 2);
+    assert_eq!(queue.withdraw_all().len(), 2);
     assert_eq!((queue.held_count(), queue.held_bytes()), (0, 0));
     assert!(queue.release(at_ms(9_000), |_| 1.0).is_empty());
 }
@@ -169,9 +169,9 @@
     for priority in [3, 1, 2] {
         let line = line(priority);
         let request = HoldRequest {
-            line: &line,
-            chance: 0.6,
-            due: TARGET,
+            flow: &line,
+            admission_probability: 0.6,
+            soft_deadline: TARGET,
             held_bytes: 1_000,
         };
         for _ in 0..3 {
@@ -198,9 +198,9 @@
             now += Duration::from_millis(u64::from(pause_ms % 300));
             let chance = f64::from(chance) / 255.0;
             let request = HoldRequest {
-                line: &line(u32::from(pause_ms % 3)),
-                chance,
-                due: now + TARGET,
+                flow: &line(u32::from(pause_ms % 3)),
+                admission_probability: chance,
+                soft_deadline: now + TARGET,
                 held_bytes: bytes as usize,
             };
             let mut random = StdRng::seed_from_u64(ticket as u64);
@@ -211,7 +211,7 @@
                 return TestResult::failed();
             }
         }
-        held -= queue.take_all().len();
+        held -= queue.withdraw_all().len();
         TestResult::from_bool(held == 0 && queue.held_bytes() == 0)
     }
 }
@@ -330,12 +330,18 @@
                 offers += 1.0;
                 chance
             });
-            for ReleasedRequest { ticket, outcome } in released {
+            for ReleasedRequest {
+                ticket,
+                reason: outcome,
+            } in released
+            {
                 match outcome {
                     ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => {
                         self.admit(now, ticket)
                     }
-                    ReleaseReason::NoRoom { room_in } => {
+                    ReleaseReason::NoRoom {
+                        retry_after: room_in,
+                    } => {
                         self.totals.held_then_refused += 1.0;
                         self.refuse(now, ticket, room_in);
                     }
@@ -360,15 +366,17 @@
         }
         let entry = self.random.random_range(0..ENTRIES);
         let request = HoldRequest {
-            line: &line(2),
-            chance,
-            due: sent.first_sent + TARGET,
+            flow: &line(2),
+            admission_probability: chance,
+            soft_deadline: sent.first_sent + TARGET,
             held_bytes: 1_000,
         };
         match self.entries[entry].offer(now, &request, sent, &mut self.random) {
             HoldDecision::Admitted => self.admit(now, sent),
             HoldDecision::Held(_) => self.totals.held += 1.0,
-            HoldDecision::Refused { room_in } => self.refuse(now, sent, room_in),
+            HoldDecision::Refused {
+                retry_after: room_in,
+            } => self.refuse(now, sent, room_in),
         }
     }
 
--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -136,7 +136,7 @@
         if call.attempts_count == 1 {
             budget.on_requests(now, 1.0);
         }
-        let choice = table.choose(now, "register", excluded, true, &mut self.random);
+        let choice = table.pick(now, "register", excluded, true, &mut self.random);
         let chosen = choice.unwrap().control;
         let server = (0..SERVERS_COUNT).find(|server| address(*server) == chosen);
         let server = server.unwrap();
@@ -160,7 +160,7 @@
         let fails = server == 0 && now >= at_ms(FAILS_AT_MS);
         let report = self.report(now, server, fails);
         let (table, budget) = &mut self.callers[call.caller];
-        table.ended(now, address(server), EndpointResult::Answered, Some(report));
+        table.on_ended(now, address(server), EndpointResult::Answered, Some(report));
         if !fails {
             let next = Call {
                 done_count: call.done_count + 1,
@@ -173,10 +173,10 @@
                 self.served_count += 1;
             }
         } else if call.attempts_count < 2
-            && table.is_out_of_line("register", address(server))
+            && table.is_ejected("register", address(server))
             && budget.has_room(now, 1.0)
         {
-            budget.on_repeats(now, 1.0);
+            budget.on_retries(now, 1.0);
             self.send(now, call, &[address(server)]);
         }
         self.begin(now, server);
@@ -188,7 +188,7 @@
         if fails {
             server.failures.failed(now, now);
         } else {
-            server.failures.ended_well();
+            server.failures.succeeded();
         }
         GateReport {
             running_count: server.running_count as u32,
--- a/crates/kumquatquay-core/tests/routed/fair_shares.rs
+++ b/crates/kumquatquay-core/tests/routed/fair_shares.rs
@@ -18,13 +18,16 @@
 fn a_workspace_below_its_share_is_always_admitted() {
     let mut shares = FairShares::default();
     for _ in 0..90 {
-        shares.ask(at_ms(0), &group(), "hot", 1.0, 0.5);
+        shares.on_request(at_ms(0), &group(), "hot", 1.0, 0.5);
     }
     for _ in 0..9 {
-        shares.ask(at_ms(0), &group(), "calm", 1.0, 0.5);
+        shares.on_request(at_ms(0), &group(), "calm", 1.0, 0.5);
     }
-    assert_eq!(shares.ask(at_ms(60), &group(), "calm", 1.0, 0.5), 1.0);
-    let hot = shares.ask(at_ms(60), &group(), "hot", 1.0, 0.5);
+    assert_eq!(
+        shares.on_request(at_ms(60), &group(), "calm", 1.0, 0.5),
+        1.0
+    );
+    let hot = shares.on_request(at_ms(60), &group(), "hot", 1.0, 0.5);
     assert!((0.4..0.5).contains(&hot), "{hot}");
 }
 
@@ -32,9 +35,9 @@
 fn the_only_workspace_has_the_common_chance() {
     let mut shares = FairShares::default();
     for _ in 0..200 {
-        shares.ask(at_ms(0), &group(), "only", 1.0, 0.3);
+        shares.on_request(at_ms(0), &group(), "only", 1.0, 0.3);
     }
-    let later = shares.ask(at_ms(60), &group(), "only", 1.0, 0.3);
+    let later = shares.on_request(at_ms(60), &group(), "only", 1.0, 0.3);
     assert!((later - 0.3).abs() < 0.01, "{later}");
 }
 
@@ -42,7 +45,10 @@
 fn without_room_no_workspace_has_a_chance() {
     let mut shares = FairShares::default();
     for claimant in ["a", "b", "a"] {
-        assert_eq!(shares.ask(at_ms(0), &group(), claimant, 1.0, 0.0), 0.0);
+        assert_eq!(
+            shares.on_request(at_ms(0), &group(), claimant, 1.0, 0.0),
+            0.0
+        );
     }
 }
 
@@ -52,7 +58,7 @@
     let mut shares = FairShares::default();
     for claimant in 0..5_000 {
         let name = format!("w{claimant}");
-        let chance = shares.ask(at_ms(0), &group(), &name, 1.0, 0.5);
+        let chance = shares.on_request(at_ms(0), &group(), &name, 1.0, 0.5);
         assert!((0.0..=1.0).contains(&chance));
     }
     for rank in 0..5_000 {
@@ -60,7 +66,7 @@
             priority: rank,
             ..group()
         };
-        assert!((0.0..=1.0).contains(&shares.ask(at_ms(0), &group, "w", 1.0, 0.5)));
+        assert!((0.0..=1.0).contains(&shares.on_request(at_ms(0), &group, "w", 1.0, 0.5)));
     }
 }
 
@@ -118,8 +124,10 @@
                 let own = match policy {
                     Policy::Chance => chance,
                     Policy::Shares | Policy::GlobalShares if chance >= 1.0 => 1.0,
-                    Policy::GlobalShares => entries[0].ask(now, &group(), &name, 1.0, chance),
-                    Policy::Shares => entries[entry].ask(now, &group(), &name, 1.0, chance),
+                    Policy::GlobalShares => {
+                        entries[0].on_request(now, &group(), &name, 1.0, chance)
+                    }
+                    Policy::Shares => entries[entry].on_request(now, &group(), &name, 1.0, chance),
                 };
                 let is_refused = random.random::<f64>() >= own;
                 admitted += f64::from(u8::from(!is_refused));
--- a/crates/kumquatquay-core/tests/routed/gate_retries.rs
+++ b/crates/kumquatquay-core/tests/routed/gate_retries.rs
@@ -38,7 +38,7 @@
     counts: &mut Counts,
 ) {
     counts.calls += 1;
-    retries.on_call(at_ms(at));
+    retries.on_first_attempt(at_ms(at));
     for hand_overs_count in 1.. {
         let is_rejected = rejects();
         retries.on_result(is_rejected);
@@ -48,9 +48,9 @@
         }
         let call = RejectedCall {
             is_from_outside,
-            hand_overs_count,
+            attempts_count: hand_overs_count,
         };
-        if !retries.take(at_ms(at), call) {
+        if !retries.try_retry(at_ms(at), call) {
             return;
         }
         counts.retries += 1;
--- a/crates/kumquatquay-core/tests/routed/held_answers.rs
+++ b/crates/kumquatquay-core/tests/routed/held_answers.rs
@@ -10,15 +10,15 @@
 #[test]
 fn what_is_unread_ends_early_starts_first_and_requests_then() {
     let mut held = HeldAnswers::new(MEMORY_BYTES);
-    assert!(held.has_room_early() && held.has_room());
+    assert!(held.has_room_for_pipelined() && held.has_room());
     held.add(16_000_000);
-    assert!(!held.has_room_early() && held.has_room());
+    assert!(!held.has_room_for_pipelined() && held.has_room());
     held.add(24_000_000);
-    assert!(!held.has_room_early() && !held.has_room());
+    assert!(!held.has_room_for_pipelined() && !held.has_room());
     held.remove(24_000_000);
-    assert!(!held.has_room_early() && held.has_room());
+    assert!(!held.has_room_for_pipelined() && held.has_room());
     held.remove(16_000_000);
-    assert!(held.has_room_early() && held.has_room());
+    assert!(held.has_room_for_pipelined() && held.has_room());
 }
 
 quickcheck! {
--- a/crates/kumquatquay-core/tests/routed/host_gate.rs
+++ b/crates/kumquatquay-core/tests/routed/host_gate.rs
@@ -11,18 +11,18 @@
 
 fn call(priority: u32, deadline: Duration) -> GateCall {
     GateCall {
-        whole_priority: 0,
+        request_priority: 0,
         priority,
-        due: at_ms(150),
+        soft_deadline: at_ms(150),
         deadline,
-        work: Duration::from_millis(20),
+        run_time: Duration::from_millis(20),
     }
 }
 
 fn run(work_ms: u64) -> RouteRunTime<'static> {
     RouteRunTime {
         route: "call",
-        work: Duration::from_millis(work_ms),
+        run_time: Duration::from_millis(work_ms),
     }
 }
 
@@ -110,11 +110,11 @@
     let mut gate = gate(1);
     fill(&mut gate, 1);
     let due_at = |due_ms| GateCall {
-        whole_priority: 0,
+        request_priority: 0,
         priority: 1,
-        due: at_ms(due_ms),
+        soft_deadline: at_ms(due_ms),
         deadline: at_ms(5_000),
-        work: Duration::from_millis(20),
+        run_time: Duration::from_millis(20),
     };
     gate.offer(at_ms(1), due_at(301), "in a run");
     gate.offer(at_ms(2), due_at(152), "of a person");
@@ -128,7 +128,7 @@
 #[test]
 fn calls_that_are_late_anyway_do_not_make_others_late() {
     let due_at = |due_ms| GateCall {
-        due: at_ms(due_ms),
+        soft_deadline: at_ms(due_ms),
         ..call(1, at_ms(5_000))
     };
     let timely_count = |order| {
@@ -170,7 +170,7 @@
     gate.offer(
         at_ms(1),
         GateCall {
-            due: at_ms(400),
+            soft_deadline: at_ms(400),
             ..call(1, at_ms(5_000))
         },
         "fresh",
@@ -312,7 +312,7 @@
     let mut gate = HostGate::default();
     gate.set_limit_count(1);
     let call_for = |whole_priority| GateCall {
-        whole_priority,
+        request_priority: whole_priority,
         ..call(3, at_ms(10_000))
     };
     assert!(matches!(
--- a/crates/kumquatquay-core/tests/routed/level_controller.rs
+++ b/crates/kumquatquay-core/tests/routed/level_controller.rs
@@ -50,7 +50,7 @@
         let arrivals = (mean + mean.sqrt() * self.random.random_range(-1.7..1.7)).max(0.0);
         for _ in 0..arrivals as u32 {
             self.controller
-                .arrived(self.controller.level(), Duration::from_secs_f64(WORK_S));
+                .on_arrival(self.controller.level(), Duration::from_secs_f64(WORK_S));
         }
         let run = room.min(self.waiting + arrivals);
         let waiting = self.waiting + arrivals - run;
--- a/crates/kumquatquay-core/tests/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/tests/routed/load_balancer.rs
@@ -56,7 +56,7 @@
 }
 
 fn end_call(table: &mut LoadBalancer, host: u8, how: EndpointResult, report: GateReport) {
-    table.ended(at_ms(0), address(host), how, Some(report));
+    table.on_ended(at_ms(0), address(host), how, Some(report));
 }
 
 /// Sends `count` calls, each of which ends at once, and counts them by host.
@@ -67,10 +67,8 @@
 ) -> BTreeMap<u8, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..count {
-        let choice = table
-            .choose(at_ms(0), "archive", &[], false, random)
-            .unwrap();
-        table.ended(at_ms(0), choice.control, EndpointResult::Cancelled, None);
+        let choice = table.pick(at_ms(0), "archive", &[], false, random).unwrap();
+        table.on_ended(at_ms(0), choice.control, EndpointResult::Cancelled, None);
         let SocketAddr::V4(control) = choice.control else {
             panic!("an IPv4 address");
         };
@@ -146,13 +144,13 @@
 #[test]
 fn a_host_is_not_chosen_for_some_time_after_its_link_was_lost() {
     let (mut table, mut random) = table();
-    table.ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
+    table.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let excluded = [address(2), address(3)];
     assert_eq!(
-        table.choose(at_ms(100), "archive", &excluded, false, &mut random),
+        table.pick(at_ms(100), "archive", &excluded, false, &mut random),
         None
     );
-    let choice = table.choose(at_ms(400), "archive", &excluded, false, &mut random);
+    let choice = table.pick(at_ms(400), "archive", &excluded, false, &mut random);
     assert_eq!(choice.unwrap().control, address(1));
 }
 
@@ -163,7 +161,7 @@
     table.rebuild("near", members.iter());
     let mut random = StdRng::seed_from_u64(1);
     assert_eq!(
-        table.choose(at_ms(0), "archive", &[], false, &mut random),
+        table.pick(at_ms(0), "archive", &[], false, &mut random),
         None
     );
 }
@@ -173,12 +171,12 @@
 #[test]
 fn a_new_life_starts_without_what_was_learnt_about_the_previous_one() {
     let (mut table, mut random) = table();
-    table.ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
+    table.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let mut replaced = member(1, "near", MemberState::Serving);
     replaced.life = Some(BackendLife::untold("new"));
     table.rebuild("near", [replaced].iter());
     let choice = table
-        .choose(at_ms(1), "archive", &[], false, &mut random)
+        .pick(at_ms(1), "archive", &[], false, &mut random)
         .unwrap();
     assert_eq!(choice.life, Some(BackendLife::untold("new")));
 }
@@ -191,7 +189,7 @@
 fn a_backend_server_that_has_joined_is_called_at_once() {
     let (mut table, mut random) = table();
     for host in [1, 2] {
-        table.ended(
+        table.on_ended(
             at_ms(0),
             address(host),
             EndpointResult::Answered,
@@ -205,11 +203,11 @@
     let mut calls_count = 0;
     for call in 0..30 {
         let choice = table
-            .choose(at_ms(call), "archive", &[], false, &mut random)
+            .pick(at_ms(call), "archive", &[], false, &mut random)
             .unwrap();
         calls_count += u32::from(choice.control == address(4));
         let report = (choice.control != address(4)).then(|| report(4, 22));
-        table.ended(
+        table.on_ended(
             at_ms(call),
             choice.control,
             EndpointResult::Answered,
@@ -225,15 +223,15 @@
 #[test]
 fn an_unreachable_host_gets_no_calls_until_it_answers() {
     let (mut table, mut random) = table();
-    assert!(table.lost(address(1)));
-    assert!(!table.lost(address(99)));
+    assert!(table.mark_unreachable(address(1)));
+    assert!(!table.mark_unreachable(address(99)));
     for call in 0..50 {
-        let choice = table.choose(at_ms(call * 200), "archive", &[], false, &mut random);
+        let choice = table.pick(at_ms(call * 200), "archive", &[], false, &mut random);
         assert_ne!(choice.unwrap().control, address(1));
     }
-    table.reached(address(1));
+    table.mark_reachable(address(1));
     let excluded = [address(2), address(3)];
-    let choice = table.choose(at_ms(10_000), "archive", &excluded, false, &mut random);
+    let choice = table.pick(at_ms(10_000), "archive", &excluded, false, &mut random);
     assert_eq!(choice.unwrap().control, address(1));
 }
 
@@ -249,22 +247,22 @@
     ];
     table.rebuild("near", members.iter());
     let mut choose_with = |work_ms| {
-        table.ended(
+        table.on_ended(
             at_ms(0),
             address(3),
             EndpointResult::Answered,
             Some(report(2, 100)),
         );
-        table.ended(
+        table.on_ended(
             at_ms(0),
             address(1),
             EndpointResult::Answered,
             Some(report(3, work_ms)),
         );
         let choice = table
-            .choose(at_ms(1), "archive", &[], false, &mut random)
+            .pick(at_ms(1), "archive", &[], false, &mut random)
             .unwrap();
-        table.ended(at_ms(1), choice.control, EndpointResult::Cancelled, None);
+        table.on_ended(at_ms(1), choice.control, EndpointResult::Cancelled, None);
         choice.control
     };
     assert_eq!(choose_with(200), address(1));
@@ -302,17 +300,17 @@
         report_failures(&mut table, host, 44, 0.02);
     }
     report_failures(&mut table, 1, 44, 0.9);
-    assert!(table.is_out_of_line("archive", address(1)));
+    assert!(table.is_ejected("archive", address(1)));
     let mut calls_count = 0;
     for _ in 0..20_000 {
-        let choice = table.choose(at_ms(0), "archive", &[], true, &mut random);
+        let choice = table.pick(at_ms(0), "archive", &[], true, &mut random);
         let control = choice.unwrap().control;
         calls_count += u32::from(control == address(1));
-        table.ended(at_ms(0), control, EndpointResult::Cancelled, None);
+        table.on_ended(at_ms(0), control, EndpointResult::Cancelled, None);
     }
     assert!((10..=100).contains(&calls_count), "{calls_count} of 20000");
     report_failures(&mut table, 1, 44, 0.05);
-    assert!(!table.is_out_of_line("archive", address(1)));
+    assert!(!table.is_ejected("archive", address(1)));
 }
 
 /// A call that must not run twice is never used as a probe.
@@ -321,10 +319,10 @@
     let (mut table, mut random) = eight();
     report_failures(&mut table, 1, 44, 0.9);
     for _ in 0..5_000 {
-        let choice = table.choose(at_ms(0), "archive", &[], false, &mut random);
+        let choice = table.pick(at_ms(0), "archive", &[], false, &mut random);
         let control = choice.unwrap().control;
         assert_ne!(control, address(1));
-        table.ended(at_ms(0), control, EndpointResult::Cancelled, None);
+        table.on_ended(at_ms(0), control, EndpointResult::Cancelled, None);
     }
 }
 
@@ -336,7 +334,7 @@
     for host in 1..=6 {
         report_failures(&mut table, host, 44, 0.8);
     }
-    assert!((1..=8).all(|host| !table.is_out_of_line("archive", address(host))));
+    assert!((1..=8).all(|host| !table.is_ejected("archive", address(host))));
 }
 
 /// Three of eight fail, and a third of eight, rounded down, is two.
@@ -346,7 +344,7 @@
     for host in 1..=3 {
         report_failures(&mut table, host, 44, 0.8);
     }
-    let out = (1..=8).filter(|host| table.is_out_of_line("archive", address(*host)));
+    let out = (1..=8).filter(|host| table.is_ejected("archive", address(*host)));
     assert_eq!(out.count(), 2);
 }
 
@@ -356,7 +354,7 @@
     let (mut table, mut random) = eight();
     report_failures(&mut table, 1, 44, 0.9);
     let excluded: Vec<SocketAddr> = (2..=8).map(address).collect();
-    let choice = table.choose(at_ms(0), "archive", &excluded, false, &mut random);
+    let choice = table.pick(at_ms(0), "archive", &excluded, false, &mut random);
     assert_eq!(choice.unwrap().control, address(1));
 }
 
@@ -395,11 +393,11 @@
         let report = limited_report(2.0, 400);
         end_call(&mut table, host, EndpointResult::RateLimited, report);
     }
-    let mut choose = |ms| table.choose(at_ms(ms), "archive", &[], false, &mut random);
+    let mut choose = |ms| table.pick(at_ms(ms), "archive", &[], false, &mut random);
     assert_eq!(choose(399), None);
     assert!(choose(400).is_some());
-    assert!(table.is_limited(at_ms(399), "archive"));
-    assert!(!table.is_limited(at_ms(400), "archive"));
+    assert!(table.is_rate_limited(at_ms(399), "archive"));
+    assert!(!table.is_rate_limited(at_ms(400), "archive"));
 }
 
 /// The node beside a rate limited backend server is down for a while and restarts. It doesn't know
@@ -410,7 +408,7 @@
     let (mut table, mut random) = table();
     let choose_first_host = |table: &mut LoadBalancer, random: &mut StdRng, ms| {
         let excluded = [address(2), address(3)];
-        table.choose(at_ms(ms), "archive", &excluded, false, random)
+        table.pick(at_ms(ms), "archive", &excluded, false, random)
     };
     assert_eq!(
         choose_first_host(&mut table, &mut random, 0)
@@ -422,7 +420,7 @@
     // The answer arrives while the host is not a target.
     let others = [2, 3].map(|host| member(host, "near", MemberState::Serving));
     table.rebuild("near", others.iter());
-    table.on_limit(at_ms(0), &life, limited_report(1.6, 0).rate);
+    table.on_rate_limit(at_ms(0), &life, limited_report(1.6, 0).rate);
     let all = [1, 2, 3].map(|host| member(host, "near", MemberState::Serving));
     table.rebuild("near", all.iter());
     end_call(&mut table, 1, EndpointResult::GateFull, report(0, 100));
@@ -432,7 +430,7 @@
     let known = known.unwrap();
     assert_eq!((known.limit_milli_per_s, known.age_ms), (1_600, 2_500));
     // The backend server answers without a limit.
-    table.on_limit(at_ms(0), &life, None);
+    table.on_rate_limit(at_ms(0), &life, None);
     assert_eq!(
         choose_first_host(&mut table, &mut random, 0)
             .unwrap()
--- a/crates/kumquatquay-core/tests/routed/machine_slowdown.rs
+++ b/crates/kumquatquay-core/tests/routed/machine_slowdown.rs
@@ -8,8 +8,8 @@
 fn the_newest_pace_is_known_for_a_second() {
     let mut pace = MachineSlowdown::default();
     assert_eq!(pace.ratio(at_ms(0)), None);
-    pace.on_told(at_ms(100), 1.5);
-    pace.on_told(at_ms(200), 2.5);
+    pace.on_report(at_ms(100), 1.5);
+    pace.on_report(at_ms(200), 2.5);
     assert_eq!(pace.ratio(at_ms(1_199)), Some(2.5));
     assert_eq!(pace.ratio(at_ms(1_200)), None);
 }
@@ -19,9 +19,9 @@
 #[test]
 fn a_senseless_pace_is_passed_over() {
     let mut pace = MachineSlowdown::default();
-    pace.on_told(at_ms(0), 1.25);
+    pace.on_report(at_ms(0), 1.25);
     for senseless in [0.0, -1.0, 0.001, 61.0, 1e9, f64::NAN, f64::INFINITY] {
-        pace.on_told(at_ms(1), senseless);
+        pace.on_report(at_ms(1), senseless);
         assert_eq!(pace.ratio(at_ms(2)), Some(1.25), "{senseless}");
     }
 }
--- a/crates/kumquatquay-core/tests/routed/retry_budget.rs
+++ b/crates/kumquatquay-core/tests/routed/retry_budget.rs
@@ -13,7 +13,7 @@
 fn take(window: &mut RetryBudget, now: Duration) -> bool {
     let has_room = window.has_room(now, 1.0);
     if has_room {
-        window.on_repeats(now, 1.0);
+        window.on_retries(now, 1.0);
     }
     has_room
 }
--- a/crates/kumquatquay-core/tests/routed/route_run_times.rs
+++ b/crates/kumquatquay-core/tests/routed/route_run_times.rs
@@ -10,7 +10,7 @@
 fn run(route: &str, work_ms: u64) -> RouteRunTime<'_> {
     RouteRunTime {
         route,
-        work: at_ms(work_ms),
+        run_time: at_ms(work_ms),
     }
 }
 
@@ -19,7 +19,7 @@
     let mut works = RouteRunTimes::default();
     for number in 0..2_000 {
         let is_long = number % 50 == 49;
-        works.ended(if is_long {
+        works.record(if is_long {
             run("times", 880)
         } else {
             run("quote", 55)
@@ -31,7 +31,7 @@
 #[test]
 fn each_route_has_a_time_of_its_own() {
     let works = mixed();
-    let off = |route, work_ms| works.of(route).abs_diff(at_ms(work_ms));
+    let off = |route, work_ms| works.estimate(route).abs_diff(at_ms(work_ms));
     assert!(off("times", 880) < at_ms(1));
     assert!(off("quote", 55) < at_ms(1));
 }
@@ -48,18 +48,18 @@
 #[test]
 fn a_route_that_was_never_seen_is_taken_for_the_mean() {
     let works = mixed();
-    assert_eq!(works.known("unheard"), None);
-    assert_eq!(works.of("unheard"), works.mean());
+    assert_eq!(works.route_mean("unheard"), None);
+    assert_eq!(works.estimate("unheard"), works.mean());
 }
 
 #[test]
 fn without_routes_all_calls_are_alike() {
     let mut works = RouteRunTimes::default().without_routes();
     for _ in 0..100 {
-        works.ended(run("quote", 40));
-        works.ended(run("times", 80));
+        works.record(run("quote", 40));
+        works.record(run("times", 80));
     }
-    assert_eq!(works.of("quote"), works.of("times"));
+    assert_eq!(works.estimate("quote"), works.estimate("times"));
 }
 
 quickcheck! {
@@ -68,7 +68,7 @@
     fn any_routes_leave_a_mean(runs: Vec<(u16, u16)>) -> bool {
         let mut works = RouteRunTimes::default();
         for (route, work_ms) in &runs {
-            works.ended(run(&route.to_string(), u64::from(*work_ms)));
+            works.record(run(&route.to_string(), u64::from(*work_ms)));
         }
         let times = runs.iter().map(|(_, work_ms)| at_ms(u64::from(*work_ms)));
         let (Some(least), Some(most)) = (times.clone().min(), times.max()) else {
--- a/crates/kumquatquay-core/tests/routed/run_failures.rs
+++ b/crates/kumquatquay-core/tests/routed/run_failures.rs
@@ -16,7 +16,7 @@
 fn the_share_of_failures_rises_within_ten_runs() {
     let mut failures = RunFailures::default();
     for _ in 0..100 {
-        failures.ended_well();
+        failures.succeeded();
     }
     for run in 0..10 {
         failures.failed(at_ms(run), at_ms(run));
@@ -32,10 +32,10 @@
     for run in 0..200 {
         let now = at_ms(run * 10) + RUN_TIME;
         if run % 2 == 0 {
-            failures.call_lost(now);
+            failures.call_failed(now);
             failures.failed(now - RUN_TIME, now);
         } else {
-            failures.ended_well();
+            failures.succeeded();
         }
     }
     assert!(failures.ratio() < 0.01, "{}", failures.ratio());
@@ -46,7 +46,7 @@
 #[test]
 fn a_lost_call_does_not_excuse_a_much_later_failure() {
     let mut failures = RunFailures::default();
-    failures.call_lost(at_ms(0));
+    failures.call_failed(at_ms(0));
     failures.failed(at_ms(0), at_ms(5_000));
     assert!(failures.ratio() > 0.0);
 }
@@ -61,7 +61,7 @@
         let began = at_ms(run * 10);
         let ended = began + Duration::from_millis(1);
         failures.failed(began, ended);
-        failures.call_lost(ended + Duration::from_millis(1));
+        failures.call_failed(ended + Duration::from_millis(1));
     }
     assert!(failures.ratio() > 0.25, "{}", failures.ratio());
 }
--- a/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
@@ -197,16 +197,16 @@
 fn a_restarted_node_learns_the_limit_from_its_callers() {
     let mut limit = ServerRateLimit::default();
     limit.on_life(&life("a"));
-    let of_another = limit.on_told(at_ms(10), &life("b"), known(9.0, 0));
+    let of_another = limit.on_caller_report(at_ms(10), &life("b"), known(9.0, 0));
     assert_eq!(of_another, None);
-    limit.on_told(at_ms(10), &life("a"), known(2.0, 5_000));
-    limit.on_told(at_ms(20), &life("a"), known(3.0, 1_000));
-    limit.on_told(at_ms(30), &life("a"), known(4.0, 8_000));
+    limit.on_caller_report(at_ms(10), &life("a"), known(2.0, 5_000));
+    limit.on_caller_report(at_ms(20), &life("a"), known(3.0, 1_000));
+    limit.on_caller_report(at_ms(30), &life("a"), known(4.0, 8_000));
     assert_eq!(limit.per_s(), Some(3.0));
     assert_eq!(limit.age(at_ms(30)), Duration::from_millis(1_010));
     limit.on_answer(at_ms(200), &life("a"), at_ms(15), AdvertisedRateLimit::None);
     assert_eq!(limit.per_s(), None);
-    limit.on_told(at_ms(210), &life("a"), known(2.0, 0));
+    limit.on_caller_report(at_ms(210), &life("a"), known(2.0, 0));
     assert_eq!(limit.per_s(), None);
 }
 
@@ -225,17 +225,17 @@
 fn call(now_ms: u64, priority: Priority) -> GateCall {
     GateCall {
         priority,
-        whole_priority: priority,
-        due: at_ms(now_ms + 500),
+        request_priority: priority,
+        soft_deadline: at_ms(now_ms + 500),
         deadline: at_ms(now_ms + 2_000),
-        work: Duration::from_millis(50),
+        run_time: Duration::from_millis(50),
     }
 }
 
 fn limited_gate(per_s: f64) -> HostGate<Ticket> {
     let mut gate = HostGate::default();
     gate.set_limit_count(100);
-    let limit = gate.server_limit_mut();
+    let limit = gate.rate_limit_mut();
     limit.on_life(&life("a"));
     limit.on_answer(
         at_ms(0),
@@ -258,7 +258,7 @@
         Admission::Wait(_)
     ));
     assert_eq!(gate.next(at_ms(990)), None);
-    let wait = gate.limit_wait(at_ms(990)).unwrap();
+    let wait = gate.rate_limit_wait(at_ms(990)).unwrap();
     assert!(wait <= Duration::from_millis(11), "{wait:?}");
     assert_eq!(gate.next(at_ms(1_001)), Some(2));
 }
@@ -269,14 +269,14 @@
 fn a_new_limit_sheds_the_least_important() {
     let mut gate = HostGate::default();
     gate.set_limit_count(1);
-    gate.server_limit_mut().on_life(&life("a"));
+    gate.rate_limit_mut().on_life(&life("a"));
     gate.offer(at_ms(0), call(0, 1), 0);
     for ticket in 1..=20 {
         let priority = if ticket % 2 == 0 { 0 } else { 2 };
         gate.offer(at_ms(0), call(0, priority), ticket);
     }
     let limit = AdvertisedRateLimit::PerSecond(20.0);
-    gate.server_limit_mut()
+    gate.rate_limit_mut()
         .on_answer(at_ms(100), &life("a"), at_ms(50), limit);
     let shed = gate.shed(at_ms(100));
     assert_eq!(shed.len(), 15);
@@ -291,7 +291,7 @@
     for _ in 0..100 {
         let run = RouteRunTime {
             route: "r",
-            work: Duration::from_millis(50),
+            run_time: Duration::from_millis(50),
         };
         gate.ended(Some(run));
     }
@@ -336,7 +336,7 @@
 fn new_gate() -> HostGate<Ticket> {
     let mut gate = HostGate::default();
     gate.set_limit_count(SLOTS);
-    gate.server_limit_mut().on_life(&life("a"));
+    gate.rate_limit_mut().on_life(&life("a"));
     gate
 }
 
@@ -397,7 +397,9 @@
         if let Some((known, reported_ms)) = self.reported[caller] {
             let age_ms = self.now_ms - reported_ms;
             let known = KnownLimit { age_ms, ..known };
-            self.gate.server_limit_mut().on_told(now, &life("a"), known);
+            self.gate
+                .rate_limit_mut()
+                .on_caller_report(now, &life("a"), known);
         }
         let ticket = self.callers.len();
         self.callers.push(caller);
@@ -427,7 +429,7 @@
         self.running = running;
         let ended: Vec<(u64, u64, usize)> = ended;
         for (_, began_ms, caller) in ended {
-            let limit = self.gate.server_limit_mut();
+            let limit = self.gate.rate_limit_mut();
             limit.on_answer(now, &life("a"), at_ms(began_ms), self.limit);
             self.gate.on_backend_load(BackendLoad {
                 running_count: self.running.len(),
@@ -435,7 +437,7 @@
             });
             self.gate.ended(Some(RouteRunTime {
                 route: "r",
-                work: at_ms(self.now_ms - began_ms),
+                run_time: at_ms(self.now_ms - began_ms),
             }));
             let rate = self.gate.report(now, 1.0).rate;
             self.reported[caller] = rate.map(|rate| {
--- a/crates/kumquatquay-core/tests/routed/unknown_keys.rs
+++ b/crates/kumquatquay-core/tests/routed/unknown_keys.rs
@@ -14,10 +14,10 @@
 #[test]
 fn a_key_is_remembered_for_a_while() {
     let mut keys = UnknownKeys::default();
-    keys.add(at_ms(0), key(1));
-    assert!(keys.has(at_ms(29_000), key(1)));
-    assert!(!keys.has(at_ms(31_000), key(1)));
-    assert!(!keys.has(at_ms(0), key(2)));
+    keys.insert(at_ms(0), key(1));
+    assert!(keys.contains(at_ms(29_000), key(1)));
+    assert!(!keys.contains(at_ms(31_000), key(1)));
+    assert!(!keys.contains(at_ms(0), key(2)));
 }
 
 /// Somebody tries a hundred thousand keys. Memory stays bounded, and what is remembered is what
@@ -26,10 +26,10 @@
 fn a_flood_of_keys_is_not_all_remembered() {
     let mut keys = UnknownKeys::default();
     for number in 0..20_000 {
-        keys.add(Duration::from_micros(u64::from(number)), key(number));
+        keys.insert(Duration::from_micros(u64::from(number)), key(number));
     }
     let now = at_ms(20);
-    let remembered = (0..20_000).filter(|number| keys.has(now, key(*number)));
+    let remembered = (0..20_000).filter(|number| keys.contains(now, key(*number)));
     assert!(remembered.count() <= 1_024);
-    assert!(keys.has(now, key(19_999)));
+    assert!(keys.contains(now, key(19_999)));
 }
--- a/crates/kumquatquay-core/tests/routed/workspaces.rs
+++ b/crates/kumquatquay-core/tests/routed/workspaces.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatquay_core::routed::{CallerIdentity, PresentedKey, Workspaces, whole_rank};
+use kumquatquay_core::routed::{CallerIdentity, PresentedKey, Workspaces, request_priority};
 use kumquatquay_wire::routed::{KeyDigest, Priority, Repeat, RouteSettings, WorkspaceSettings};
 
 fn route(is_public: bool, priority: Priority) -> RouteSettings {
@@ -91,8 +91,8 @@
 fn the_rank_of_a_workspace_goes_before_that_of_the_route() {
     let important = workspace("north", "k1", Some(0));
     let other = workspace("south", "k2", Some(1));
-    let look_up = whole_rank(&route(false, 2), Some(&important));
-    let filing = whole_rank(&route(false, 0), Some(&other));
+    let look_up = request_priority(&route(false, 2), Some(&important));
+    let filing = request_priority(&route(false, 0), Some(&other));
     assert!(look_up < filing);
 }
 
@@ -100,7 +100,7 @@
 #[test]
 fn within_a_rank_of_workspaces_routes_are_ordered() {
     let workspace = workspace("north", "k1", Some(1));
-    let filing = whole_rank(&route(false, 0), Some(&workspace));
-    let look_up = whole_rank(&route(false, 2), Some(&workspace));
+    let filing = request_priority(&route(false, 0), Some(&workspace));
+    let look_up = request_priority(&route(false, 2), Some(&workspace));
     assert!(filing < look_up);
 }
--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -56,7 +56,7 @@
         let admission_probability = if node.is_on(Mechanism::FairShares) {
             ask_for_share(node, line, &shortage)
         } else {
-            shortage.chance
+            shortage.admission_probability
         };
         Self {
             shortage,
@@ -71,7 +71,7 @@
     let works = node
         .entry_admission
         .borrow()
-        .work_at(now, &line.route, &line.service);
+        .work_by_service(now, &line.route, &line.service);
     let work = works.iter().find(|work| work.service == shortage.service);
     let work = work.map_or(UNKNOWN_WORK, |work| work.work);
     let group = ShareGroup {
@@ -80,7 +80,13 @@
     };
     let mut shares = node.fair_shares.borrow_mut();
     let work_s = work.as_secs_f64();
-    shares.ask(now, &group, &line.claimant, work_s, shortage.chance)
+    shares.on_request(
+        now,
+        &group,
+        &line.claimant,
+        work_s,
+        shortage.admission_probability,
+    )
 }
 
 impl PendingRequest<'_> {
@@ -97,7 +103,7 @@
         return Admission::Admitted;
     };
     if !decides_by_chance(node) {
-        let admission_probability = shortage.chance;
+        let admission_probability = shortage.admission_probability;
         let short = ClaimantShortage {
             shortage,
             admission_probability,
@@ -176,7 +182,7 @@
         route,
         service: &call.service,
         priority: call.whole_priority.get(),
-        place,
+        tie_breaker: place,
     };
     offer_request(node, &request)
 }
@@ -195,7 +201,7 @@
         route: &line.route,
         service: &line.service,
         priority: line.priority,
-        place: LAST_PLACE,
+        tie_breaker: LAST_PLACE,
     };
     match offer_request(node, &request) {
         Ok(()) => 1.0,
@@ -230,7 +236,7 @@
         admission_probability,
     } = short;
     let short_for = if node.is_on(Mechanism::GrowingRetryAfter) {
-        shortage.lasts
+        shortage.duration
     } else {
         Duration::ZERO
     };
@@ -242,7 +248,7 @@
     };
     let wait = returns.draw(&mut *node.random.borrow_mut());
     node.metrics.count("refused", "shortage");
-    if *admission_probability < shortage.chance {
+    if *admission_probability < shortage.admission_probability {
         node.metrics.count("refused_by_share", "asked_for_more");
     }
     if node.metrics.take_log_permit(now) {
@@ -252,8 +258,8 @@
             shortage.service,
             shortage.level,
             shortage.age.as_millis(),
-            shortage.lasts.as_millis(),
-            shortage.chance
+            shortage.duration.as_millis(),
+            shortage.admission_probability
         );
         log_request(node, pending.call, "refused", &why, None, pending.began);
     }
--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -352,7 +352,7 @@
         state.unread.len() > state.started_bytes
             && state.missing.may_be_there(&state.unread)
             && self.node.stop_phase() == StopPhase::Serving
-            && self.node.held_answers.get().has_room_early()
+            && self.node.held_answers.get().has_room_for_pipelined()
             && state.row.has_room(self.held_bytes.get())
     }
 
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -118,7 +118,7 @@
     let PresentedKey::Present(key) = key else {
         return false;
     };
-    node.is_configuration_current() && unknown_keys.has(node.now(), key)
+    node.is_configuration_current() && unknown_keys.contains(node.now(), key)
 }
 
 fn remember_unknown(
@@ -127,7 +127,7 @@
     found: &Result<Identified, IdentityRefusal>,
 ) {
     if let (PresentedKey::Present(key), Err(IdentityRefusal::UnknownKey)) = (key, found) {
-        node.unknown_keys.borrow_mut().add(node.now(), key);
+        node.unknown_keys.borrow_mut().insert(node.now(), key);
     }
 }
 
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -6,7 +6,7 @@
 use http::{Request, Response, StatusCode, request::Parts};
 use http_body_util::{BodyExt, Either, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use kumquatquay_core::routed::{Mechanism, RetryAfter, RouteEntry, whole_rank};
+use kumquatquay_core::routed::{Mechanism, RetryAfter, RouteEntry, request_priority};
 use kumquatquay_wire::routed::{
     LinkOutcome, NotRunReason, Payload, RouteSettings, UnknownReason, WorkspaceSettings,
 };
@@ -58,7 +58,7 @@
         let retry = Some(retry_after(node, &route.settings));
         return local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "this node stops\n");
     }
-    if table.workspaces().ask_for_keys() {
+    if table.workspaces().require_keys() {
         // Backend servers and other nodes must not come to know the key.
         (node.dialect.remove_caller_identity)(&mut parts.headers);
     }
@@ -101,7 +101,7 @@
     if carried.as_ref().is_ok_and(LinkAnswer::is_success) {
         let took = node.now().saturating_sub(let_in);
         let mut held = node.held_requests.borrow_mut();
-        held.answered(&call.route.settings.name, took);
+        held.on_answer(&call.route.settings.name, took);
     } else {
         count_failed_call(node, &call);
     }
@@ -191,7 +191,7 @@
     if !is_called {
         return;
     }
-    node.run_failures.borrow_mut().call_lost(now);
+    node.run_failures.borrow_mut().call_failed(now);
     if node.is_on(Mechanism::KeptGraph) {
         node.call_graph.borrow_mut().call_failed(now, name);
     }
@@ -265,7 +265,7 @@
         caller,
         service,
         version: table.version(),
-        whole_priority: Cell::new(whole_rank(&route.settings, workspace.as_deref())),
+        whole_priority: Cell::new(request_priority(&route.settings, workspace.as_deref())),
         workspace,
         deadline: deadline_of(&route, marks, request.began),
         attempt: marks.attempt_id.clone().unwrap_or_default(),
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -172,7 +172,7 @@
         let last = self.progress.last.filter(|_| is_idempotent);
         let targets = node.load_balancer.borrow();
         answer.is_failed_run()
-            && last.is_some_and(|control| targets.is_out_of_line(&call.service, control))
+            && last.is_some_and(|control| targets.is_ejected(&call.service, control))
     }
 
     /// The last attempt has not run, so the call has not, unless an earlier one may have.
@@ -200,7 +200,7 @@
         let mut first = pin!(attempt(node, call, choice, accepts_failing, &open));
         tokio::select! {
             answer = first.as_mut() => return answer,
-            () = tokio::time::sleep(HANGS_LEAST.max(choice.work * HANGS_WORKS)) => {}
+            () = tokio::time::sleep(HANGS_LEAST.max(choice.mean_run_time * HANGS_WORKS)) => {}
             () = silence_on_the_way(node, call, choice) => {}
         }
         let Some(other) = self.choose_beside(node, call) else {
@@ -227,7 +227,7 @@
         let other = choose(node, call, &self.asked)?;
         if !node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
             let mut targets = node.load_balancer.borrow_mut();
-            targets.ended(node.now(), other.control, EndpointResult::Cancelled, None);
+            targets.on_ended(node.now(), other.control, EndpointResult::Cancelled, None);
             return None;
         }
         node.metrics.count("repeat", "beside");
@@ -257,7 +257,7 @@
         let is_limited = node
             .load_balancer
             .borrow()
-            .is_limited(node.now(), &call.service);
+            .is_rate_limited(node.now(), &call.service);
         if !is_limited {
             return NotRunReason::Full;
         }
@@ -300,7 +300,7 @@
     let mut random = node.random.borrow_mut();
     let mut targets = node.load_balancer.borrow_mut();
     let may_repeat = call.route.settings.repeat == Repeat::Idempotent;
-    targets.choose(node.now(), &call.service, asked, may_repeat, &mut *random)
+    targets.pick(node.now(), &call.service, asked, may_repeat, &mut *random)
 }
 
 /// Counts an attempt that is dropped before it has an answer.
@@ -335,7 +335,7 @@
         };
         let now = self.node.now();
         let mut targets = self.node.load_balancer.borrow_mut();
-        targets.ended(now, self.control, ended, None);
+        targets.on_ended(now, self.control, ended, None);
     }
 }
 
@@ -354,7 +354,7 @@
     }
     let ended = ended_of(&answer.outcome);
     let mut targets = node.load_balancer.borrow_mut();
-    targets.ended(node.now(), choice.control, ended, answer.report);
+    targets.on_ended(node.now(), choice.control, ended, answer.report);
     answer
 }
 
@@ -362,7 +362,7 @@
 fn on_notices(node: &RoutedNode, choice: &PickedEndpoint, life: &BackendLife, answer: &LinkAnswer) {
     if let (LinkOutcome::Answered { .. }, Some(report)) = (&answer.outcome, answer.report) {
         let mut targets = node.load_balancer.borrow_mut();
-        targets.on_limit(node.now(), life, report.rate);
+        targets.on_rate_limit(node.now(), life, report.rate);
     }
     if answer.is_leaving && node.load_balancer.borrow_mut().on_leaving(node.now(), life) {
         node.metrics.count("server_leaving", "told");
@@ -404,7 +404,7 @@
     }
     if let Some(news) = &answer.news {
         let route = &call.route.settings.name;
-        if levels.on_route(now, route, &call.service, gate, news.clone()) {
+        if levels.on_route_update(now, route, &call.service, gate, news.clone()) {
             node.route_demand_log
                 .log_if_changed(now, route, &call.service, news);
         } else {
--- a/crates/kumquatquayd/src/routed/held_requests.rs
+++ b/crates/kumquatquayd/src/routed/held_requests.rs
@@ -94,9 +94,9 @@
     short: &ClaimantShortage,
 ) -> HoldResult {
     let request = HoldRequest {
-        line,
-        chance: short.admission_probability,
-        due: pending.due(),
+        flow: line,
+        admission_probability: short.admission_probability,
+        soft_deadline: pending.due(),
         held_bytes: held_bytes(pending.call),
     };
     let (ticket, released) = oneshot::channel();
@@ -108,7 +108,9 @@
     };
     let key = match offer {
         HoldDecision::Admitted => return HoldResult::Admitted,
-        HoldDecision::Refused { room_in } => return HoldResult::NoRoom { room_in },
+        HoldDecision::Refused {
+            retry_after: room_in,
+        } => return HoldResult::NoRoom { room_in },
         HoldDecision::Held(key) => key,
     };
     node.request_held.notify_one();
@@ -179,7 +181,7 @@
 }
 
 fn send_all_back(node: &RoutedNode, end: HoldResult) {
-    let tickets = node.held_requests.borrow_mut().take_all();
+    let tickets = node.held_requests.borrow_mut().withdraw_all();
     for ticket in tickets {
         // Nobody waits for it if the caller has left in this moment.
         let _ = ticket.send(end);
@@ -191,10 +193,16 @@
         .held_requests
         .borrow_mut()
         .release(node.now(), |line| admission_probability(node, line));
-    for ReleasedRequest { ticket, outcome } in released {
+    for ReleasedRequest {
+        ticket,
+        reason: outcome,
+    } in released
+    {
         let end = match outcome {
             ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => HoldResult::Admitted,
-            ReleaseReason::NoRoom { room_in } => HoldResult::NoRoom { room_in },
+            ReleaseReason::NoRoom {
+                retry_after: room_in,
+            } => HoldResult::NoRoom { room_in },
         };
         if outcome == ReleaseReason::WaitExhausted {
             node.metrics.count("held", "due");
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -302,7 +302,7 @@
     // each: that took as much processor time as everything else in an overload.
     let was_silent = link.is_silent.send_if_modified(std::mem::take);
     if was_silent {
-        node.load_balancer.borrow_mut().reached(link.peer);
+        node.load_balancer.borrow_mut().mark_reachable(link.peer);
     }
     if !link.has_heard.replace(true) {
         link.news.notify_waiters();
@@ -328,10 +328,11 @@
     let node = Rc::clone(node);
     let tasks = node.tasks.clone();
     tasks.spawn_local(async move {
-        while node.load_balancer.borrow_mut().lost(peer) && !answers(&node, peer).await {
+        while node.load_balancer.borrow_mut().mark_unreachable(peer) && !answers(&node, peer).await
+        {
             tokio::time::sleep(PROBE_PAUSE).await;
         }
-        node.load_balancer.borrow_mut().reached(peer);
+        node.load_balancer.borrow_mut().mark_reachable(peer);
         node.links.borrow_mut().probed.remove(&peer);
     });
 }
@@ -407,7 +408,7 @@
         }
         LinkAction::Avoid if !node.is_on(Mechanism::SilentLinks) => {}
         LinkAction::Avoid => {
-            node.load_balancer.borrow_mut().lost(link.peer);
+            node.load_balancer.borrow_mut().mark_unreachable(link.peer);
             let is_news = |is_silent: &mut bool| !std::mem::replace(is_silent, true);
             if link.is_silent.send_if_modified(is_news) {
                 node.metrics.count("link", "silent");
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -42,7 +42,7 @@
     /// The moment after which the call would not end in time: it is refused then,
     /// while its sender can still say that it has not run.
     fn latest_start(&self, node: &RoutedNode) -> Duration {
-        let work = node.gate.borrow().works().of(self.call.route);
+        let work = node.gate.borrow().run_times().estimate(self.call.route);
         self.deadline.saturating_sub(work.mul_f64(LEAST_WORK_RATIO))
     }
 }
@@ -66,8 +66,8 @@
     on_known_limit(node, call);
     let deadline = now + Duration::from_millis(call.remaining_ms);
     let heard = f64::from(call.level_permille) / 1_000.0;
-    let work = node.gate.borrow().works().of(call.route);
-    node.level_controller.borrow_mut().arrived(heard, work);
+    let work = node.gate.borrow().run_times().estimate(call.route);
+    node.level_controller.borrow_mut().on_arrival(heard, work);
     node.route_callers
         .borrow_mut()
         .called(now, call.route, call.caller_service);
@@ -107,7 +107,7 @@
         tokio::time::sleep(LEVEL_INTERVAL).await;
         let now = node.now();
         let state = node.gate.borrow().state();
-        let work = node.gate.borrow().work();
+        let work = node.gate.borrow().mean_run_time();
         let is_silent = node.backend_liveness.borrow().is_silent(now, work);
         if is_silent && node.is_on(Mechanism::SilentBackend) {
             // Runs under way go on: their answers may still come.
@@ -120,7 +120,7 @@
 /// Lets calls run that wait for the rate limit of the backend server, as it allows.
 pub(crate) async fn admit_within_rate_limit(node: Rc<RoutedNode>) {
     loop {
-        let wait = node.gate.borrow().limit_wait(node.now());
+        let wait = node.gate.borrow().rate_limit_wait(node.now());
         match wait {
             Some(wait) => tokio::time::sleep(wait).await,
             None => node.limit_wait_started.notified().await,
@@ -143,13 +143,13 @@
         let work = self.node.now().saturating_sub(self.began);
         let run = self.counts_work.then_some(RouteRunTime {
             route: &self.route,
-            work,
+            run_time: work,
         });
         let mut gate = self.node.gate.borrow_mut();
         if self.has_reached_backend {
             gate.ended(run);
         } else {
-            gate.not_handed_over(self.node.now());
+            gate.not_forwarded(self.node.now());
         }
         drop(gate);
         admit_waiting(&self.node);
@@ -162,14 +162,14 @@
     loop {
         let next = node.gate.borrow_mut().next(now);
         let Some(ticket) = next else {
-            if node.gate.borrow().limit_wait(now).is_some() {
+            if node.gate.borrow().rate_limit_wait(now).is_some() {
                 node.limit_wait_started.notify_one();
             }
             return;
         };
         if ticket.send(()).is_err() {
             // Its caller left while it waited.
-            node.gate.borrow_mut().not_handed_over(now);
+            node.gate.borrow_mut().not_forwarded(now);
         }
     }
 }
@@ -207,7 +207,7 @@
             key
         }
     };
-    if node.gate.borrow().limit_wait(node.now()).is_some() {
+    if node.gate.borrow().rate_limit_wait(node.now()).is_some() {
         node.metrics.count("server_limit", "waited");
         node.limit_wait_started.notify_one();
     }
@@ -246,7 +246,7 @@
         // A grant that nobody took would hold its place for good.
         if withdrawn.is_none() && self.granted.try_recv().is_ok() {
             let now = self.node.now();
-            self.node.gate.borrow_mut().not_handed_over(now);
+            self.node.gate.borrow_mut().not_forwarded(now);
             admit_waiting(self.node);
         }
     }
@@ -255,10 +255,10 @@
 fn offer(node: &RoutedNode, timed: &Timed<'_>, ticket: RunPermit) -> Admission<RunPermit> {
     let call = GateCall {
         priority: timed.call.priority,
-        whole_priority: timed.call.whole_priority,
-        due: timed.due,
+        request_priority: timed.call.whole_priority,
+        soft_deadline: timed.due,
         deadline: timed.deadline,
-        work: node.gate.borrow().works().of(timed.call.route),
+        run_time: node.gate.borrow().run_times().estimate(timed.call.route),
     };
     node.gate.borrow_mut().offer(node.now(), call, ticket)
 }
@@ -324,7 +324,7 @@
                 .borrow_mut()
                 .run_began(call.route, call.whole_priority, deadline);
         node.call_graph.borrow_mut().run_began(now, call.route);
-        node.backend_liveness.borrow_mut().began(now);
+        node.backend_liveness.borrow_mut().call_started(now);
         Self {
             node,
             call,
@@ -347,7 +347,7 @@
         self.node
             .backend_liveness
             .borrow_mut()
-            .ended(now, self.has_sign);
+            .call_ended(now, self.has_sign);
     }
 }
 
@@ -362,7 +362,7 @@
 /// Hands a call to the backend server, once more if it was turned away and that is
 /// worth a part of the retry budget.
 async fn hand_over(node: &Rc<RoutedNode>, timed: &Timed<'_>, mut slot: Slot) -> LinkAnswer {
-    node.gate_retries.borrow_mut().on_call(node.now());
+    node.gate_retries.borrow_mut().on_first_attempt(node.now());
     for hand_overs_count in 1.. {
         slot.began = node.now();
         let handed_over = hand_over_once(node, timed, &mut slot).await;
@@ -388,7 +388,7 @@
     let mut failures = node.run_failures.borrow_mut();
     let outcome = match handed_over {
         HandedOver::TurnedAway => {
-            failures.turned_away();
+            failures.rejected();
             "turned_away"
         }
         HandedOver::Ended(answer) if answer.is_failed_run() => {
@@ -396,7 +396,7 @@
             "failed"
         }
         HandedOver::Ended(answer) if answer.is_success() => {
-            failures.ended_well();
+            failures.succeeded();
             "well"
         }
         HandedOver::Ended(_) => "other",
@@ -417,10 +417,10 @@
     let census = node.route_callers.borrow();
     let call = RejectedCall {
         is_from_outside: census.is_from_outside(now, timed.call.route, services_count),
-        hand_overs_count,
+        attempts_count: hand_overs_count,
     };
     let mut repeats = node.gate_retries.borrow_mut();
-    repeats.take(now, call) && node.gate.borrow_mut().may_hand_over_again(now)
+    repeats.try_retry(now, call) && node.gate.borrow_mut().try_forward_again(now)
 }
 
 async fn hand_over_once(node: &Rc<RoutedNode>, timed: &Timed<'_>, slot: &mut Slot) -> HandedOver {
@@ -481,7 +481,7 @@
     if let Some(ratio) = marks.pace_ratio {
         node.machine_slowdown
             .borrow_mut()
-            .on_told(node.now(), ratio);
+            .on_report(node.now(), ratio);
     }
     let is_other = marks
         .attempt_id
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -46,7 +46,7 @@
     };
     node.run_failures.borrow_mut().on_life(&current.life);
     let mut gate = node.gate.borrow_mut();
-    gate.server_limit_mut().on_life(&current.life);
+    gate.rate_limit_mut().on_life(&current.life);
     drop(gate);
     log::info!(event = "backend", life:% = current.life, state:% = state,
         slots = current.slots_count, sequence = current.sequence;
@@ -89,11 +89,11 @@
 
 /// Tells which backend servers fail more than their peers, with what that was judged by.
 fn log_line_changes(node: &RoutedNode) {
-    let changes = node.load_balancer.borrow_mut().take_line_changes();
+    let changes = node.load_balancer.borrow_mut().take_outlier_changes();
     for change in changes {
         log::warn!(event = "backend_out_of_line", service = change.service.as_str(),
-            node:% = change.control, left_alone = change.is_out,
-            failed = change.failed_ratio, middle = change.middle_ratio;
+            node:% = change.control, left_alone = change.is_ejected,
+            failed = change.failed_ratio, middle = change.median_ratio;
             "a backend server fails far more runs than its peers, or no longer");
     }
 }
--- a/crates/kumquatquayd/src/routed/metrics_text.rs
+++ b/crates/kumquatquayd/src/routed/metrics_text.rs
@@ -21,7 +21,7 @@
         );
     }
     let report = node.gate_report();
-    let server_limit = node.gate.borrow().server_limit().per_s();
+    let server_limit = node.gate.borrow().rate_limit().per_s();
     let waiting_work = node.gate.borrow().state().waiting_work;
     let unheard = node.store_poller.borrow().unheard(node.now());
     let store_era = node.store_poller.borrow().era().unwrap_or_default();
@@ -60,8 +60,8 @@
     if let Some(per_s) = server_limit {
         let _ = writeln!(text, "kumquatquay_server_limit_per_s {per_s}");
     }
-    for known in node.gate.borrow().works().routes() {
-        let (route, work_us) = (known.route, known.work.as_micros());
+    for known in node.gate.borrow().run_times().routes() {
+        let (route, work_us) = (known.route, known.run_time.as_micros());
         let _ = writeln!(
             text,
             "kumquatquay_gate_route_work_us{{route={route:?}}} {work_us}"
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -176,7 +176,7 @@
     if mechanisms.is_on(Mechanism::WorkBasedLoad) {
         gate
     } else {
-        gate.without_route_works()
+        gate.without_route_run_times()
     }
 }
 
@@ -320,7 +320,7 @@
         if let Some(old) = self.routes() {
             let taken_away = old.workspaces().keys_not_in(table.workspaces());
             let mut unknown_keys = self.unknown_keys.borrow_mut();
-            taken_away.for_each(|key| unknown_keys.add(self.now(), key));
+            taken_away.for_each(|key| unknown_keys.insert(self.now(), key));
         }
         let mut quotas = self.quotas.borrow_mut();
         quotas.retain(|workspace| table.workspaces().quota(workspace).is_some());
@@ -391,7 +391,7 @@
             if levels.is_from_outside(now, &row.route) != Some(false) {
                 continue;
             }
-            for demand in levels.leads_to_all(now, &row.route) {
+            for demand in levels.all_demands(now, &row.route) {
                 let demand = demand.scaled(row.calls_count as f32);
                 let known = leads_to.entry(demand.service.clone()).or_default();
                 *known = demand.and(known);
@@ -412,7 +412,7 @@
     /// What one run of a route asks of the backend server of this host.
     fn own_demand(&self, route: &str) -> ServiceDemand {
         let gate = self.gate.borrow();
-        let work = gate.works().known(route).unwrap_or_default();
+        let work = gate.run_times().route_mean(route).unwrap_or_default();
         ServiceDemand {
             service: self.settings.service.clone(),
             calls: 1.0,
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -79,7 +79,7 @@
         }
         BackendReport::Leave { life } => node.lives.borrow_mut().on_leave(now, &life),
     };
-    node.backend_liveness.borrow_mut().sign(now);
+    node.backend_liveness.borrow_mut().on_activity(now);
     if is_change {
         on_backend_changed(node);
     }
@@ -138,7 +138,7 @@
     let Some(table) = node.routes() else {
         return false;
     };
-    !table.workspaces().ask_for_keys() || !node.lacks_valid_proof()
+    !table.workspaces().require_keys() || !node.lacks_valid_proof()
 }
 
 /// Serves the node's metrics as text.
--- a/crates/kumquatquayd/src/routed/retry_budgets.rs
+++ b/crates/kumquatquayd/src/routed/retry_budgets.rs
@@ -59,10 +59,10 @@
         if !has_room {
             return false;
         }
-        self.with_window(service, Repeats::Own, |window| window.on_repeats(now, 1.0));
+        self.with_window(service, Repeats::Own, |window| window.on_retries(now, 1.0));
         for (service, calls_count) in &behind {
             self.with_window(service, Repeats::Caused, |window| {
-                window.on_repeats(now, *calls_count);
+                window.on_retries(now, *calls_count);
             });
         }
         true
@@ -71,7 +71,7 @@
     /// Calls that one run of a route makes at services other than its own.
     fn calls_behind(&self, route: &str, service: &str) -> Vec<(ServiceName, f64)> {
         let levels = self.entry_admission.borrow();
-        let leads_to = levels.leads_to(self.now(), route, service).iter();
+        let leads_to = levels.demands(self.now(), route, service).iter();
         let behind = leads_to.filter(|demand| demand.service != service);
         behind
             .map(|demand| (demand.service.clone(), f64::from(demand.calls)))
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -64,7 +64,7 @@
         }
     }
     let mut gate = node.gate.borrow_mut();
-    let change = gate.server_limit_mut().on_answer(now, life, began, limit);
+    let change = gate.rate_limit_mut().on_answer(now, life, began, limit);
     drop(gate);
     on_change(node, life, change, "answer");
 }
@@ -91,7 +91,9 @@
 
 fn on_told(node: &RoutedNode, life: &BackendLife, known: KnownLimit, from: &'static str) {
     let mut gate = node.gate.borrow_mut();
-    let change = gate.server_limit_mut().on_told(node.now(), life, known);
+    let change = gate
+        .rate_limit_mut()
+        .on_caller_report(node.now(), life, known);
     drop(gate);
     on_change(node, life, change, from);
 }
@@ -125,7 +127,7 @@
     node.metrics.count("server_limit", what);
     let now = node.now();
     if node.metrics.take_log_permit(now) {
-        let age = node.gate.borrow().server_limit().age(now);
+        let age = node.gate.borrow().rate_limit().age(now);
         log::info!(event = "server_limit", life:% = life, what = what,
             was_per_s = text_of(change.from_per_s), per_s = text_of(change.to_per_s),
             from = from, age_ms = age.as_millis() as u64;
