--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -1,4 +1,4 @@
-//! Carries a call from its entry to a backend server.
+//! Forwards a call from its entry to a backend server, with retries and hedging.
 
 use std::{borrow::Cow, cell::Cell, net::SocketAddr, pin::pin, rc::Rc, sync::Arc, time::Duration};
 
@@ -18,26 +18,26 @@
     node::RoutedNode,
 };
 
-/// Nodes that are asked for room for one call, at most. A refusal there costs a
-/// round trip and no run.
-const ASKED_LIMIT_COUNT: usize = 4;
+/// Refusals after which the nodes that refused a call are not tried again. A refusal by a node
+/// costs a round trip and no run.
+const REFUSALS_LIMIT_COUNT: usize = 4;
 
-/// Pause before a call looks again for a backend server that takes it.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+/// Pause before an endpoint is picked again for a call that found none.
+const PICK_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Time that is kept for the answer to come back.
-const ANSWER_TIME: Duration = Duration::from_millis(12);
+/// Part of the time to the deadline that is reserved for the answer to travel back.
+const ANSWER_RESERVE: Duration = Duration::from_millis(12);
 
-/// Time from the deadline in which no further attempt is begun.
-const LAST_ATTEMPT: Duration = Duration::from_millis(18);
+/// Least time to the deadline with which another attempt is started.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(18);
 
-/// Mean times to run a call, and the least time, after which an attempt without an
-/// answer is taken to hang. A call waits for two of them at a gate, and the longest of
-/// a hundred runs take five.
-const HANGS_WORKS: u32 = 10;
-const HANGS_LEAST: Duration = Duration::from_millis(200);
+/// An attempt counts as hung if it has no answer after this many mean run times, and not
+/// before the minimum below. A call may wait for two mean run times at a gate, and the
+/// slowest 1% of the runs take five.
+const HANG_RUN_TIMES: u32 = 10;
+const HANG_TIMEOUT_MIN: Duration = Duration::from_millis(200);
 
-/// A call of this host.
+/// A call that came in at the entry of this host.
 #[derive(Debug)]
 pub(crate) struct OutgoingCall {
     pub(crate) caller: Option<SocketAddr>,
@@ -46,21 +46,22 @@
     pub(crate) version: RouteVersion,
     /// Workspace that holds the caller's key.
     pub(crate) workspace: Option<Arc<WorkspaceSettings>>,
-    /// Rank of the whole request that it belongs to, as far as that is known.
+    /// Priority of the root request that it belongs to. It is the call's own priority until the
+    /// run that made the call is known.
     pub(crate) whole_priority: Cell<Priority>,
     pub(crate) attempt: String,
     pub(crate) deadline: Duration,
     pub(crate) method: String,
     pub(crate) target: String,
     pub(crate) payload: Payload,
-    /// How far it has come; also told of a call whose time ran out on the way.
+    /// Kept here so that it can also be logged for a call whose deadline passed.
     pub(crate) progress: Cell<Progress>,
-    /// Whether a backend server may have it.
+    /// Whether a backend server may have received the call.
     pub(crate) may_have_run: MayHaveRun,
 }
 
 impl OutgoingCall {
-    /// Rank of the call by itself.
+    /// Priority of this call alone, without that of its root request.
     fn priority(&self) -> Priority {
         let workspace = self.workspace.as_ref();
         let priority = workspace.and_then(|workspace| workspace.priority);
@@ -68,155 +69,163 @@
     }
 }
 
-/// What a call went through so far.
+/// Attempts and refusals of a call so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Progress {
-    /// Backend servers to which it was sent and which have answered or are lost.
+    /// Attempts that a backend server rejected or failed, or whose outcome is unknown. A hedged
+    /// attempt counts when it starts.
     pub(crate) sends_count: u32,
-    /// Nodes that had no room for it.
+    /// Nodes that refused it, and searches that found only rate-limited endpoints.
     pub(crate) refusals_count: usize,
-    /// Control address of the last node that it was sent to.
-    pub(crate) last: Option<SocketAddr>,
+    /// Control address of the node to which it was sent last.
+    pub(crate) last_node: Option<SocketAddr>,
 }
 
-/// Carries a call until it is answered, refused or given up.
+/// Forwards a call, with retries, until it is answered or has finally failed.
 pub(crate) async fn forward(node: &Rc<RoutedNode>, call: &OutgoingCall) -> LinkAnswer {
     node.deposit_retry_budget(&call.route.settings.name, &call.service);
-    let mut course = Course::default();
+    let mut attempts = CallAttempts::default();
     loop {
-        if node.now() + LAST_ATTEMPT > call.deadline {
-            return course.end(LinkAnswer::not_run(NotRunReason::Late));
+        if node.now() + MIN_ATTEMPT_TIME > call.deadline {
+            return attempts.finish(LinkAnswer::not_run(NotRunReason::Late));
         }
-        let Some(choice) = choose(node, call, &course.asked) else {
-            let reason = course.no_room(node, call);
-            if course.can_look_again(node, call) {
-                tokio::time::sleep(LOOK_AGAIN).await;
-                course.asked.clear();
+        let Some(endpoint) = pick_endpoint(node, call, &attempts.tried_nodes) else {
+            let reason = attempts.no_endpoint_reason(node, call);
+            if attempts.can_pick_again(node, call) {
+                tokio::time::sleep(PICK_RETRY_PAUSE).await;
+                attempts.tried_nodes.clear();
                 continue;
             }
-            return course.end(LinkAnswer::not_run(reason));
+            return attempts.finish(LinkAnswer::not_run(reason));
         };
-        course.asked.push(choice.control);
-        course.progress.last = Some(choice.control);
-        call.progress.set(course.progress);
-        let answer = course.attempt(node, call, &choice).await;
-        let verdict = course.judge(node, call, &answer);
-        call.progress.set(course.progress);
-        match verdict {
-            Verdict::Final => return course.end(answer),
-            Verdict::Elsewhere => {}
+        attempts.tried_nodes.push(endpoint.control);
+        attempts.progress.last_node = Some(endpoint.control);
+        call.progress.set(attempts.progress);
+        let answer = attempts.attempt(node, call, &endpoint).await;
+        let decision = attempts.decide_retry(node, call, &answer);
+        call.progress.set(attempts.progress);
+        match decision {
+            RetryDecision::Finish => return attempts.finish(answer),
+            RetryDecision::Retry => {}
         }
     }
 }
 
-/// The attempts of a call so far.
+/// State of the attempts of one call.
 #[derive(Debug, Default)]
-struct Course {
-    /// Control addresses of the nodes that were asked.
-    asked: Vec<SocketAddr>,
+struct CallAttempts {
+    /// Control addresses of the nodes that were tried.
+    tried_nodes: Vec<SocketAddr>,
     progress: Progress,
-    /// An attempt of which it isn't known whether it ran.
-    unknown: Option<UnknownReason>,
-    /// The answer of a backend server that ran the call and failed it.
+    /// Why it is unknown whether an earlier attempt ran.
+    unknown_reason: Option<UnknownReason>,
+    /// The error answer of a backend server that ran the call.
     failed: Option<LinkAnswer>,
-    /// Whether a node said that its backend server fails what it runs. The next one runs the call
-    /// whatever it does: where all fail, some runs may still end well.
+    /// Whether a node refused the call because its backend server fails too many runs. The next
+    /// node is told to run it regardless: if all backend servers fail, some runs may still succeed.
     accepts_failing: bool,
 }
 
-enum Verdict {
-    Final,
-    Elsewhere,
+enum RetryDecision {
+    Finish,
+    Retry,
 }
 
-impl Course {
-    fn judge(&mut self, node: &RoutedNode, call: &OutgoingCall, answer: &LinkAnswer) -> Verdict {
+impl CallAttempts {
+    fn decide_retry(
+        &mut self,
+        node: &RoutedNode,
+        call: &OutgoingCall,
+        answer: &LinkAnswer,
+    ) -> RetryDecision {
         match &answer.outcome {
-            LinkOutcome::Answered { .. } if self.may_run_elsewhere(node, call, answer) => {
+            LinkOutcome::Answered { .. } if self.should_retry_failed(node, call, answer) => {
                 self.progress.sends_count += 1;
                 self.failed = Some(answer.clone());
-                self.once_more(node, call)
+                self.retry_within_budget(node, call)
             }
-            LinkOutcome::Answered { .. } => Verdict::Final,
+            LinkOutcome::Answered { .. } => RetryDecision::Finish,
             LinkOutcome::NotRun(NotRunReason::TurnedAway) => {
                 self.progress.sends_count += 1;
-                self.forget_hand_over(call);
-                self.once_more(node, call)
+                self.clear_may_have_run(call);
+                self.retry_within_budget(node, call)
             }
             LinkOutcome::NotRun(reason) => {
                 self.accepts_failing |= *reason == NotRunReason::Failing;
                 self.progress.refusals_count += 1;
-                self.forget_hand_over(call);
-                Verdict::Elsewhere
+                self.clear_may_have_run(call);
+                RetryDecision::Retry
             }
             LinkOutcome::Unknown(reason) => {
                 self.progress.sends_count += 1;
-                self.unknown = Some(*reason);
+                self.unknown_reason = Some(*reason);
                 if call.route.settings.repeat == Repeat::AtMostOnce {
-                    return Verdict::Final;
+                    return RetryDecision::Finish;
                 }
-                self.once_more(node, call)
+                self.retry_within_budget(node, call)
             }
         }
     }
 
-    /// Whether a failed run is worth another one: the backend server fails runs that its peers
-    /// don't. Where they fail alike, a request that failed fails again.
-    fn may_run_elsewhere(
+    /// Whether to retry a call that failed at a backend server: only if the call is idempotent and
+    /// that server an outlier. Where all servers fail alike, the retry would fail as well.
+    fn should_retry_failed(
         &self,
         node: &RoutedNode,
         call: &OutgoingCall,
         answer: &LinkAnswer,
     ) -> bool {
         let is_idempotent = call.route.settings.repeat == Repeat::Idempotent;
-        let last = self.progress.last.filter(|_| is_idempotent);
+        let last_node = self.progress.last_node.filter(|_| is_idempotent);
         let targets = node.load_balancer.borrow();
         answer.is_failed_run()
-            && last.is_some_and(|control| targets.is_ejected(&call.service, control))
+            && last_node.is_some_and(|control| targets.is_ejected(&call.service, control))
     }
 
-    /// The last attempt has not run, so the call has not, unless an earlier one may have.
-    fn forget_hand_over(&self, call: &OutgoingCall) {
-        if self.unknown.is_none() && self.failed.is_none() {
+    /// Records that the call has not run, after an attempt that did not run, unless an earlier
+    /// attempt may have.
+    fn clear_may_have_run(&self, call: &OutgoingCall) {
+        if self.unknown_reason.is_none() && self.failed.is_none() {
             call.may_have_run.clear();
         }
     }
 
-    /// Makes an attempt; beside one that hangs another one is made, and the first whole
-    /// answer counts.
+    /// Makes an attempt, and a hedged one in parallel if the first hangs. The first answer of a
+    /// backend server wins.
     ///
-    /// Some backend servers take calls and never answer, for one of two of them or
-    /// for all. Waited for until the deadline, each is lost, and with it the whole
-    /// request. The attempt that hangs goes on: the backend server may only be slow, and
-    /// ended without an answer in its place a request would be lost that was under way.
+    /// Some backend servers accept calls and never answer half of them, or all. If the node waited
+    /// until the deadline, each such call would be lost, and its root request with it. The hung
+    /// attempt is not cancelled: the backend server may only be slow, and the call would be lost
+    /// if the hedged attempt brought no answer either.
     async fn attempt(
         &mut self,
         node: &Rc<RoutedNode>,
         call: &OutgoingCall,
-        choice: &PickedEndpoint,
+        endpoint: &PickedEndpoint,
     ) -> LinkAnswer {
-        let open = OpenAttempt::new(node, choice);
+        let guard = AttemptGuard::new(node, endpoint);
         let accepts_failing = self.accepts_failing;
-        let mut first = pin!(attempt(node, call, choice, accepts_failing, &open));
+        let mut first = pin!(attempt(node, call, endpoint, accepts_failing, &guard));
         tokio::select! {
             answer = first.as_mut() => return answer,
-            () = tokio::time::sleep(HANGS_LEAST.max(choice.mean_run_time * HANGS_WORKS)) => {}
-            () = silence_on_the_way(node, call, choice) => {}
+            () = tokio::time::sleep(HANG_TIMEOUT_MIN.max(endpoint.mean_run_time * HANG_RUN_TIMES)) => {}
+            () = endpoint_silence(node, call, endpoint) => {}
         }
-        let Some(other) = self.choose_beside(node, call) else {
+        let Some(other) = self.pick_hedge(node, call) else {
             return first.await;
         };
-        open.hangs.set(true);
-        let other_open = OpenAttempt::new(node, &other);
-        let mut second = pin!(attempt(node, call, &other, accepts_failing, &other_open));
+        guard.is_hedged.set(true);
+        let other_guard = AttemptGuard::new(node, &other);
+        let mut second = pin!(attempt(node, call, &other, accepts_failing, &other_guard));
         tokio::select! {
             answer = first.as_mut() => answer.or_other_attempt(second).await,
             answer = second.as_mut() => answer.or_other_attempt(first).await,
         }
     }
 
-    /// Where a call whose attempt hangs is sent besides, if it may be sent once more.
-    fn choose_beside(&mut self, node: &RoutedNode, call: &OutgoingCall) -> Option<PickedEndpoint> {
+    /// Picks the endpoint for a hedged attempt, if the call may be hedged: it is idempotent, has
+    /// attempts left and fits the retry budget.
+    fn pick_hedge(&mut self, node: &RoutedNode, call: &OutgoingCall) -> Option<PickedEndpoint> {
         let is_idempotent = call.route.settings.repeat == Repeat::Idempotent;
         if !is_idempotent || !node.is_on(Mechanism::HedgedAttempts) {
             return None;
@@ -224,7 +233,7 @@
         if self.progress.sends_count + 1 >= call.route.settings.attempts_count {
             return None;
         }
-        let other = choose(node, call, &self.asked)?;
+        let other = pick_endpoint(node, call, &self.tried_nodes)?;
         if !node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
             let mut targets = node.load_balancer.borrow_mut();
             targets.on_ended(node.now(), other.control, EndpointResult::Cancelled, None);
@@ -232,28 +241,29 @@
         }
         node.metrics.count("repeat", "beside");
         self.progress.sends_count += 1;
-        self.asked.push(other.control);
-        self.progress.last = Some(other.control);
+        self.tried_nodes.push(other.control);
+        self.progress.last_node = Some(other.control);
         call.progress.set(self.progress);
         Some(other)
     }
 
-    /// Whether a call that a backend server has seen is sent to another one.
-    fn once_more(&self, node: &RoutedNode, call: &OutgoingCall) -> Verdict {
+    /// Retries a call that reached a backend server, if it has attempts left and fits the retry
+    /// budget.
+    fn retry_within_budget(&self, node: &RoutedNode, call: &OutgoingCall) -> RetryDecision {
         let is_allowed = self.progress.sends_count < call.route.settings.attempts_count;
         if is_allowed && node.withdraw_retry_budget(&call.route.settings.name, &call.service) {
             node.metrics.count("repeat", "sent");
-            Verdict::Elsewhere
+            RetryDecision::Retry
         } else {
-            Verdict::Final
+            RetryDecision::Finish
         }
     }
 
-    /// Why no backend server is asked now.
+    /// Why no endpoint could be picked.
     ///
-    /// Rate limits that leave no room now will hardly leave any for all who wait at once, so each
-    /// look counts as a refusal, and the caller soon hears that it has not run.
-    fn no_room(&mut self, node: &RoutedNode, call: &OutgoingCall) -> NotRunReason {
+    /// Rate limits that are exhausted now will hardly have room for all waiting calls at once, so
+    /// each failed search counts as a refusal and the caller soon learns that the call has not run.
+    fn no_endpoint_reason(&mut self, node: &RoutedNode, call: &OutgoingCall) -> NotRunReason {
         let is_limited = node
             .load_balancer
             .borrow()
@@ -266,69 +276,80 @@
         NotRunReason::Limited
     }
 
-    /// Whether a call for which no backend server has room looks again: while there
-    /// may be one that was not found yet.
-    fn can_look_again(&self, node: &RoutedNode, call: &OutgoingCall) -> bool {
-        let has_time = node.now() + LOOK_AGAIN + LAST_ATTEMPT < call.deadline;
-        has_time && self.progress.refusals_count < ASKED_LIMIT_COUNT
+    /// Whether to search for an endpoint again after none was found: while enough time is left
+    /// and the limit of refusals is not reached.
+    fn can_pick_again(&self, node: &RoutedNode, call: &OutgoingCall) -> bool {
+        let has_time = node.now() + PICK_RETRY_PAUSE + MIN_ATTEMPT_TIME < call.deadline;
+        has_time && self.progress.refusals_count < REFUSALS_LIMIT_COUNT
     }
 
-    /// A later refusal says nothing of an earlier attempt that may have run.
-    fn end(self, answer: LinkAnswer) -> LinkAnswer {
+    /// The answer for the caller. An error answer or an unknown outcome of an earlier attempt takes
+    /// precedence over a later refusal, since that attempt may have run.
+    fn finish(self, answer: LinkAnswer) -> LinkAnswer {
         if matches!(answer.outcome, LinkOutcome::Answered { .. }) {
             return answer;
         }
         if let Some(failed) = self.failed {
             return failed;
         }
-        match (&answer.outcome, self.unknown) {
+        match (&answer.outcome, self.unknown_reason) {
             (LinkOutcome::NotRun(_), Some(reason)) => LinkAnswer::unknown(reason),
             _ => answer,
         }
     }
 }
 
-/// Waits until the link to a choice has gone silent.
-async fn silence_on_the_way(node: &Rc<RoutedNode>, call: &OutgoingCall, choice: &PickedEndpoint) {
-    if choice.peer == node.links_address() {
+/// Waits until the link to an endpoint is silent; forever if the endpoint is on this host.
+async fn endpoint_silence(node: &Rc<RoutedNode>, call: &OutgoingCall, endpoint: &PickedEndpoint) {
+    if endpoint.peer == node.links_address() {
         return std::future::pending().await;
     }
-    link_silence(node, choice.peer, call.payload.body.len()).await;
+    link_silence(node, endpoint.peer, call.payload.body.len()).await;
 }
 
-fn choose(node: &RoutedNode, call: &OutgoingCall, asked: &[SocketAddr]) -> Option<PickedEndpoint> {
+fn pick_endpoint(
+    node: &RoutedNode,
+    call: &OutgoingCall,
+    tried_nodes: &[SocketAddr],
+) -> Option<PickedEndpoint> {
     let mut random = node.random.borrow_mut();
     let mut targets = node.load_balancer.borrow_mut();
     let may_repeat = call.route.settings.repeat == Repeat::Idempotent;
-    targets.pick(node.now(), &call.service, asked, may_repeat, &mut *random)
+    targets.pick(
+        node.now(),
+        &call.service,
+        tried_nodes,
+        may_repeat,
+        &mut *random,
+    )
 }
 
-/// Counts an attempt that is dropped before it has an answer.
-struct OpenAttempt<'a> {
+/// Reports to the load balancer when an attempt is dropped before it has an answer.
+struct AttemptGuard<'a> {
     node: &'a RoutedNode,
     control: SocketAddr,
-    is_open: Cell<bool>,
-    /// Whether another attempt was made beside it, since it gave no answer.
-    hangs: Cell<bool>,
+    is_pending: Cell<bool>,
+    /// Whether a hedged attempt was started because this one hung.
+    is_hedged: Cell<bool>,
 }
 
-impl<'a> OpenAttempt<'a> {
-    fn new(node: &'a RoutedNode, choice: &PickedEndpoint) -> Self {
+impl<'a> AttemptGuard<'a> {
+    fn new(node: &'a RoutedNode, endpoint: &PickedEndpoint) -> Self {
         Self {
             node,
-            control: choice.control,
-            is_open: Cell::new(true),
-            hangs: Cell::new(false),
+            control: endpoint.control,
+            is_pending: Cell::new(true),
+            is_hedged: Cell::new(false),
         }
     }
 }
 
-impl Drop for OpenAttempt<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_open.get() {
+        if !self.is_pending.get() {
             return;
         }
-        let ended = if self.hangs.get() {
+        let ended = if self.is_hedged.get() {
             EndpointResult::Failed
         } else {
             EndpointResult::Cancelled
@@ -342,24 +363,29 @@
 async fn attempt(
     node: &Rc<RoutedNode>,
     call: &OutgoingCall,
-    choice: &PickedEndpoint,
+    endpoint: &PickedEndpoint,
     accepts_failing: bool,
-    open: &OpenAttempt<'_>,
+    guard: &AttemptGuard<'_>,
 ) -> LinkAnswer {
-    let answer = send(node, call, choice, accepts_failing).await;
-    open.is_open.set(false);
-    learn(node, call, choice.control, &answer);
-    if let Some(life) = &choice.life {
-        on_notices(node, choice, life, &answer);
+    let answer = send(node, call, endpoint, accepts_failing).await;
+    guard.is_pending.set(false);
+    apply_reports(node, call, endpoint.control, &answer);
+    if let Some(life) = &endpoint.life {
+        apply_notices(node, endpoint, life, &answer);
     }
-    let ended = ended_of(&answer.outcome);
+    let ended = endpoint_result(&answer.outcome);
     let mut targets = node.load_balancer.borrow_mut();
-    targets.on_ended(node.now(), choice.control, ended, answer.report);
+    targets.on_ended(node.now(), endpoint.control, ended, answer.report);
     answer
 }
 
-/// Takes in what a backend server has told this host of a rate limit and of its leaving.
-fn on_notices(node: &RoutedNode, choice: &PickedEndpoint, life: &BackendLife, answer: &LinkAnswer) {
+/// Passes the rate limit and the shutdown notice of a backend server on to the load balancer.
+fn apply_notices(
+    node: &RoutedNode,
+    endpoint: &PickedEndpoint,
+    life: &BackendLife,
+    answer: &LinkAnswer,
+) {
     if let (LinkOutcome::Answered { .. }, Some(report)) = (&answer.outcome, answer.report) {
         let mut targets = node.load_balancer.borrow_mut();
         targets.on_rate_limit(node.now(), life, report.rate);
@@ -367,22 +393,22 @@
     if answer.is_leaving && node.load_balancer.borrow_mut().on_leaving(node.now(), life) {
         node.metrics.count("server_leaving", "told");
         log::info!(event = "server_leaving", life:% = life, from = "answer",
-            node:% = choice.control;
-            "a backend server says that it leaves and is called no more");
+            node:% = endpoint.control;
+            "backend server announced its shutdown; no further calls are sent to it");
     }
 }
 
-/// Sends a call to its target, which may be on this host.
+/// Sends a call to an endpoint, which may be on this host.
 async fn send(
     node: &Rc<RoutedNode>,
     call: &OutgoingCall,
-    choice: &PickedEndpoint,
+    endpoint: &PickedEndpoint,
     accepts_failing: bool,
 ) -> LinkAnswer {
-    let mut head = head_of(node, call, choice);
+    let mut head = call_head(node, call, endpoint);
     head.accepts_failing = accepts_failing;
-    if choice.peer != node.links_address() {
-        return send_call(node, choice.peer, head, &call.payload, &call.may_have_run).await;
+    if endpoint.peer != node.links_address() {
+        return send_call(node, endpoint.peer, head, &call.payload, &call.may_have_run).await;
     }
     let confirmed = async {
         call.may_have_run.set();
@@ -395,8 +421,9 @@
     answer
 }
 
-/// Takes in what an answer tells of the services on the way.
-fn learn(node: &RoutedNode, call: &OutgoingCall, gate: SocketAddr, answer: &LinkAnswer) {
+/// Applies the reports that came with an answer: load of the gate, demand of the route and
+/// pressure on further services.
+fn apply_reports(node: &RoutedNode, call: &OutgoingCall, gate: SocketAddr, answer: &LinkAnswer) {
     let now = node.now();
     let mut levels = node.entry_admission.borrow_mut();
     if let Some(report) = answer.report {
@@ -412,21 +439,22 @@
             if node.metrics.take_log_permit(now) {
                 log::warn!(event = "news_senseless", route = route.as_str(),
                     service = call.service.as_str(), gate:% = gate;
-                    "what a node tells of a route can't be; it is passed over");
+                    "ignored implausible route information from another node");
             }
         }
     }
     for pressure in &answer.pressures {
-        // The gate's own word of its service goes before what others heard of it.
+        // For the service of the call, the gate's own report above is more accurate.
         if pressure.service != call.service {
             levels.on_pressure(now, pressure);
         }
     }
 }
 
-fn ended_of(outcome: &LinkOutcome) -> EndpointResult {
+fn endpoint_result(outcome: &LinkOutcome) -> EndpointResult {
     match outcome {
-        // Its gate tells how many runs it fails, those that lost a call left out.
+        // Also for error answers: the gate reports the share of failed runs, without runs that
+        // failed because a call they made was lost.
         LinkOutcome::Answered { .. } => EndpointResult::Answered,
         LinkOutcome::NotRun(NotRunReason::Full | NotRunReason::Failing) => EndpointResult::GateFull,
         LinkOutcome::NotRun(NotRunReason::Limited) => EndpointResult::RateLimited,
@@ -441,13 +469,13 @@
     }
 }
 
-fn head_of<'a>(
+fn call_head<'a>(
     node: &'a RoutedNode,
     call: &'a OutgoingCall,
-    choice: &'a PickedEndpoint,
+    endpoint: &'a PickedEndpoint,
 ) -> CallHead<'a> {
     let settings = &call.route.settings;
-    let time_left = call.deadline.saturating_sub(node.now() + ANSWER_TIME);
+    let time_left = call.deadline.saturating_sub(node.now() + ANSWER_RESERVE);
     let levels = node.entry_admission.borrow();
     let level = levels.level(node.now(), &call.service);
     let level = level.map_or(1.0, |(level, _)| level);
@@ -455,7 +483,7 @@
         number: 0,
         route: &settings.name,
         service: &call.service,
-        life: choice.life.as_ref().map(Cow::Borrowed),
+        life: endpoint.life.as_ref().map(Cow::Borrowed),
         caller_service: &node.settings.service,
         workspace: call
             .workspace
@@ -467,7 +495,7 @@
         target_latency_ms: settings.target_latency.as_millis() as u64,
         level_permille: (level * 1_000.0) as u16,
         is_idempotent: settings.repeat == Repeat::Idempotent,
-        known_limit: choice.known_limit,
+        known_limit: endpoint.known_limit,
         accepts_failing: false,
         needs_commit: settings.repeat == Repeat::AtMostOnce && node.is_on(Mechanism::Commit),
         remaining_ms: time_left.as_millis() as u64,
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -78,7 +78,7 @@
     let now = node.now();
     let progress = call.progress.get();
     let caller = call.caller.map(|caller| caller.to_string());
-    let last = progress.last.map(|last| last.to_string());
+    let last = progress.last_node.map(|last| last.to_string());
     let report = report.unwrap_or_default();
     log::info!(
         event = "request",
