--- a/crates/kumquatquayd/src/routed/interface.rs
+++ b/crates/kumquatquayd/src/routed/interface.rs
@@ -1,4 +1,4 @@
-//! What the platform fills in for a node on configured routes.
+//! Interfaces that a platform implements for a node with configured routes.
 
 use std::{fmt, future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -12,23 +12,24 @@
     routed::{RouteConfiguration, RouteVersion, StoreEra},
 };
 
-/// How requests, answers and reports are written on this platform.
+/// Platform-specific format of requests, answers and reports.
 ///
-/// Plain functions, so that a node's library knows no header and no path of any
-/// platform; tests fill in their own.
+/// The functions keep all header names and paths of a platform out of this crate; tests pass
+/// their own.
 #[derive(Clone, Copy)]
 pub struct Dialect {
-    /// Reads what a request says of itself.
+    /// Reads the metadata of a request.
     pub read_request: fn(&HeaderMap) -> RequestMetadata,
-    /// Takes out what a caller shows or says of the workspace that it belongs to.
+    /// Removes the headers that present a key or name a workspace of the caller.
     pub remove_caller_identity: fn(&mut HeaderMap),
-    /// Writes what a backend server is told beside the request as the caller sent it.
+    /// Writes the metadata that a backend server gets in addition to the headers of the caller.
     pub write_forwarded_metadata: fn(&mut HeaderMap, &ForwardedMetadata<'_>),
-    /// Reads what an answer says of itself.
+    /// Reads the metadata of an answer.
     pub read_answer: fn(&HeaderMap) -> AnswerMetadata,
-    /// Reads a report of the backend server on this host.
+    /// Parses a report of the backend server on this host; the error says what is wrong with
+    /// it.
     pub read_report: fn(&http::request::Parts, &[u8]) -> Result<BackendReport, String>,
-    /// Whether a request asks if the node is ready.
+    /// Whether a request is a readiness check.
     pub asks_readiness: fn(&http::request::Parts) -> bool,
 }
 
@@ -38,113 +39,112 @@
     }
 }
 
-/// What a request says of itself.
+/// Metadata that a caller sends with a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Its id; opaque. Each time that a caller sends a request it gives a new one.
+    /// Opaque id; a caller gives each attempt a new one.
     pub attempt_id: Option<String>,
-    /// How long the caller waits.
+    /// Time until the caller stops waiting.
     pub time_left: Option<Duration>,
-    /// The key that it shows.
+    /// Key that the caller presents.
     pub key: PresentedKey,
 }
 
-/// What a backend server is told beside the request.
+/// Metadata that a node adds to a request that it forwards to the backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedMetadata<'a> {
-    /// Time in which the answer is still wanted.
+    /// Time until the caller stops waiting.
     pub time_left: Duration,
-    /// The life of the backend server that is meant; any other declines.
+    /// Life of the backend server that the request is meant for; any other life rejects it.
     pub instance: Option<&'a InstanceId>,
-    /// Service on the host where the request began.
+    /// Service on the host where the request entered.
     pub caller_service: &'a str,
-    /// Workspace that holds the caller's key.
+    /// Workspace to which the caller's key belongs.
     pub workspace: Option<&'a str>,
 }
 
-/// What an answer says of itself.
+/// Metadata that a backend server sends with an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerMetadata {
-    /// Id of the request that it answers.
+    /// Id of the request that this answers.
     pub attempt_id: Option<String>,
-    /// Whether a backend server vouches for it; only such answers are passed on as
-    /// a success.
+    /// Whether the answer carries the signature of a backend server. Only signed answers are
+    /// passed on as a success.
     pub is_signed: bool,
-    /// Whether it says that the request has not run.
+    /// Whether the answer states that the request has not run.
     pub is_not_run: bool,
-    /// The life of the backend server that gave it.
+    /// Life of the backend server that answered.
     pub instance: Option<InstanceId>,
-    /// Time for which the backend server keeps the connection open without a
-    /// request; an answer that doesn't say means less than a second.
+    /// How long the backend server keeps an idle connection open; `None` means less than a
+    /// second.
     pub keep_alive_timeout: Option<Duration>,
-    /// Calls that the backend server can run at the same time; not all tell it.
+    /// Requests that the backend server can run at the same time, if it reports that.
     pub slots_count: Option<usize>,
-    /// How busy the backend server is; not all tell it.
+    /// How busy the backend server is, if it reports that.
     pub load: Option<BackendLoad>,
-    /// Time that work takes on its machine at this moment over its usual one; not all tell
-    /// it.
-    pub pace_ratio: Option<f64>,
-    /// Calls a second that the backend server takes of all callers together, while it names
-    /// them.
+    /// Current duration of work on the backend server's machine, divided by the usual duration,
+    /// if it reports that.
+    pub slowdown_ratio: Option<f64>,
+    /// Requests a second that the backend server accepts from all callers together, if it
+    /// advertises such a limit.
     pub limit: AdvertisedRateLimit,
-    /// Whether the backend server leaves.
+    /// Whether the backend server is leaving.
     pub is_leaving: bool,
 }
 
-/// A report of the backend server on this host.
+/// Report of the backend server on this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendReport {
-    /// How it is.
+    /// The backend server reports its state.
     Life {
-        /// What it says.
+        /// State of this life of the backend server.
         report: LifeReport,
-        /// Where it takes calls.
+        /// Address at which the backend server accepts requests.
         address: SocketAddr,
     },
-    /// It leaves.
+    /// The backend server is leaving.
     Leave {
-        /// The life that leaves.
+        /// Life that is leaving.
         life: BackendLife,
     },
 }
 
-/// What a call of the platform's store answers.
+/// Future of a call to the platform's store.
 pub type StoreFuture<T> = Pin<Box<dyn Future<Output = Result<T, StoreError>>>>;
 
-/// Where what lasts is kept.
+/// Access to the platform's durable store.
 #[derive(Clone)]
 pub struct PlatformStore {
-    /// Reads configurations newer than what was read with this value last. The store may
-    /// hold the read for the given time until there is one.
+    /// Reads configurations newer than the last one read through this value. The store may hold
+    /// the read for up to the given time until there is one.
     pub read_routes: Arc<dyn Fn(Duration) -> StoreFuture<ConfigurationRead>>,
-    /// Some of the nodes that have entered themselves: one page, from a place on.
+    /// Reads one page of the register of nodes, starting at a position.
     pub register_page: Arc<dyn Fn(RegisterPosition) -> StoreFuture<RegisterPage>>,
-    /// Enters this node, by its control address, at its place.
+    /// Writes this node's control address into the register at a position.
     pub register_node: Arc<dyn Fn(SocketAddr, RegisterPosition) -> StoreFuture<()>>,
-    /// What answers of the store, refusals included, have told of its era so far.
+    /// Eras that the store's answers have carried so far; refusals count as answers.
     pub eras: Arc<dyn Fn() -> ObservedEras>,
 }
 
-/// What answers of a store have told of its era.
+/// Eras that the answers of a store have carried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ObservedEras {
-    /// The highest one; `None` if none was told.
+    /// Highest era; `None` if no answer carried one.
     pub highest: Option<StoreEra>,
-    /// Whether there was an answer without one.
+    /// Whether an answer carried no era.
     pub has_answer_without_era: bool,
-    /// Answers whose era can't be read.
+    /// Count of answers with an unreadable era.
     pub malformed_count: u64,
 }
 
-/// A page of the register of nodes.
+/// Page of the register of nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegisterPage {
-    /// Control addresses of nodes, each once, in the order of their places. Entries that make
-    /// no sense are left out.
+    /// Control addresses, without duplicates, sorted by position. Invalid entries are left out.
     pub nodes: Vec<SocketAddr>,
-    /// Place of the last entry on it, where there is one.
-    pub last_place: Option<RegisterPosition>,
-    /// Whether the register ends with it.
+    /// Position of the last entry of the page; `None` for an empty page.
+    pub last_position: Option<RegisterPosition>,
+    /// Whether this is the last page of the register.
     pub is_last: bool,
 }
 
@@ -156,44 +156,44 @@
     }
 }
 
-/// What a read of configurations brought.
+/// Result of a read of configurations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationRead {
-    /// The one with the highest version, if there were any.
+    /// Configuration with the highest version; `None` if none was read.
     pub newest: Option<Box<RouteConfiguration>>,
-    /// For each one that can't be read all that is wrong about it, with its place.
+    /// For each configuration that can't be read, all of its errors with their places.
     pub malformed: Vec<Vec<String>>,
-    /// Whether all that the store had when it was asked has been read by now.
+    /// Whether everything that the store had when it was asked has been read.
     pub is_complete: bool,
-    /// Era of the store that the read belongs to; `None` if the store tells none.
+    /// Era of the store in which the read was answered; `None` if the store reports none.
     pub era: Option<StoreEra>,
-    /// Whether that era is over: what was read was confirmed once and says nothing of the store
-    /// as it is now.
+    /// Whether that era is over. Then the configurations that were read were confirmed once,
+    /// but say nothing about the present state of the store.
     pub is_outdated: bool,
-    /// The highest version that was read in that era; 0 without one.
+    /// Highest version that was read in that era; 0 if there was none.
     pub stored_version: RouteVersion,
 }
 
 impl ConfigurationRead {
-    /// Whether there was anything.
+    /// Whether any configuration was read, valid or malformed.
     pub fn has_configurations(&self) -> bool {
         self.newest.is_some() || !self.malformed.is_empty()
     }
 }
 
-/// Why a call of the store brought nothing.
+/// Error of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum StoreError {
-    /// Nothing was done.
+    /// The store refused the call and did nothing.
     #[display("the store refused: {detail}")]
     Refused {
         /// Status and reason.
         detail: String,
     },
-    /// No answer; it may have been done, or may still be.
+    /// The store did not answer; the call may have taken effect, or still may.
     #[display("the store did not answer: {detail}")]
     Unsure {
-        /// What happened to the call.
+        /// How the call failed.
         detail: String,
     },
 }
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -478,7 +478,7 @@
     {
         node.gate.borrow_mut().on_backend_load(load);
     }
-    if let Some(ratio) = marks.pace_ratio {
+    if let Some(ratio) = marks.slowdown_ratio {
         node.machine_slowdown
             .borrow_mut()
             .on_report(node.now(), ratio);
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -227,7 +227,7 @@
     let others: Vec<SocketAddr> = others.collect();
     let look = RegisterPageSummary {
         place,
-        last_place: page.last_place,
+        last_place: page.last_position,
         others_count: others.len(),
         is_last: page.is_last,
     };
--- a/crates/kumquatquayd/src/routed/mod.rs
+++ b/crates/kumquatquayd/src/routed/mod.rs
@@ -52,5 +52,7 @@
     AnswerMetadata, BackendReport, ConfigurationRead, Dialect, ForwardedMetadata, ObservedEras,
     PlatformStore, RegisterPage, RequestMetadata, StoreError, StoreFuture,
 };
-pub use settings::{ListenAddresses, ResourceLimits, RetryBudget, RoutedSettings, TimeBounds};
+pub use settings::{
+    ListenAddresses, ResourceLimits, RetryBudgetSettings, RoutedSettings, TimeBounds,
+};
 pub use start::run;
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -349,10 +349,10 @@
     pub(crate) fn gate_report(&self) -> GateReport {
         let level = self.level_controller.borrow().level();
         let failed_ratio = self.run_failures.borrow().ratio();
-        let pace_ratio = self.machine_slowdown.borrow().ratio(self.now());
+        let slowdown_ratio = self.machine_slowdown.borrow().ratio(self.now());
         GateReport {
             failed_permille: (failed_ratio * 1_000.0) as u16,
-            pace_permille: (pace_ratio.unwrap_or_default() * 1_000.0) as u16,
+            pace_permille: (slowdown_ratio.unwrap_or_default() * 1_000.0) as u16,
             ..self.gate.borrow().report(self.now(), level)
         }
     }
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -293,7 +293,7 @@
 fn limit_of(node: &RoutedNode, workspace: &str) -> Option<QuotaLimit> {
     let table = node.routes()?;
     let quota = table.workspaces().quota(workspace)?;
-    Some(QuotaLimit::of(quota, node.settings.quota_slack))
+    Some(QuotaLimit::of(quota, node.settings.quota_tolerance))
 }
 
 /// Lends a keeper what it asks for.
--- a/crates/kumquatquayd/src/routed/settings.rs
+++ b/crates/kumquatquayd/src/routed/settings.rs
@@ -1,83 +1,84 @@
-//! What a node on configured routes is told at its start.
+//! Settings of a node with configured routes.
 
 use std::{net::SocketAddr, time::Duration};
 
 use kumquatquay_core::{quota::QuotaTolerance, routed::Mechanisms};
 use kumquatquay_wire::{DataCentreName, ServiceName};
 
-/// Settings of a node on configured routes, for its whole life.
+/// Settings of a node with configured routes; they don't change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutedSettings {
-    /// Name of the host, for people.
+    /// Name of the host, used in logs.
     pub host: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreName,
     /// Service of the backend server on this host.
     pub service: ServiceName,
-    /// Where that backend server takes calls.
+    /// Address at which that backend server accepts requests.
     pub backend: SocketAddr,
     /// Addresses to listen on.
     pub listen: ListenAddresses,
-    /// Control addresses of some other nodes; may be stale.
+    /// Control addresses of other nodes to contact at start; may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// What the node may use of its host.
+    /// Resources of the host that the node may use.
     pub limits: ResourceLimits,
-    /// Times that others count on.
+    /// Time limits that other parts of the system rely on.
     pub bounds: TimeBounds,
-    /// What may be sent once more.
-    pub retry_budget: RetryBudget,
-    /// By how much quotas of workspaces may be passed, if at all.
-    pub quota_slack: Option<QuotaTolerance>,
-    /// Which mechanisms decide.
+    /// Budget for retries.
+    pub retry_budget: RetryBudgetSettings,
+    /// By how much the quota of a workspace may be exceeded; `None` for not at all.
+    pub quota_tolerance: Option<QuotaTolerance>,
+    /// Mechanisms that are switched on.
     pub mechanisms: Mechanisms,
 }
 
 /// Addresses to listen on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// Calls of callers and of the backend server on this host.
+    /// Requests of callers and of the backend server on this host.
     pub entry: SocketAddr,
     /// Links from other nodes.
     pub links: SocketAddr,
-    /// Control messages of other nodes, UDP and TCP.
+    /// Control messages of other nodes over UDP and TCP.
     pub control: SocketAddr,
-    /// Whether the node is ready.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// Reports of the backend server.
+    /// Reports of the backend server on this host.
     pub reports: SocketAddr,
-    /// Metrics as text, on request.
+    /// Metrics in text form; `None` for no such listener.
     pub metrics: Option<SocketAddr>,
 }
 
-/// What the node may use of its host.
+/// Resources of the host that a node may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Memory, in bytes.
+    /// Memory in bytes.
     pub memory_bytes: usize,
-    /// Descriptors that are open at the same time.
+    /// File descriptors that may be open at the same time.
     pub descriptors_count: usize,
 }
 
-/// Times that others count on.
+/// Time limits that other parts of the system rely on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeBounds {
-    /// How long a backend server takes calls after its leaving was acknowledged.
+    /// How long a backend server goes on accepting requests after its report of leaving was
+    /// acknowledged.
     pub drain: Duration,
-    /// How long a node may take to stop.
+    /// Longest time from a request to stop to the end of the node.
     pub grace: Duration,
-    /// How long after its confirmation a configuration may not be in force yet.
+    /// Longest time from the confirmation of a configuration until it is in force.
     pub configuration: Duration,
-    /// How long a key may be accepted after it was taken away; `None` if that isn't bounded.
+    /// Longest time for which a revoked key may still be accepted; `None` for no bound.
     pub revoke: Option<Duration>,
 }
 
-/// What all nodes together may send once more to a service.
+/// Retry budget of all nodes together for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBudget {
-    /// Share of the requests.
+pub struct RetryBudgetSettings {
+    /// Retries as a share of the requests.
     pub ratio: f64,
-    /// Repeats besides that share, in each window.
+    /// Retries allowed in each window in addition to that share.
     pub extra_count: f64,
-    /// The window; it slides.
+    /// Length of the sliding window.
     pub window: Duration,
 }
