--- a/crates/kumquatquay-core/src/routed/call_graph.rs
+++ b/crates/kumquatquay-core/src/routed/call_graph.rs
@@ -134,14 +134,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallEdge {
     /// The other route.
-    pub route: String,
+    pub callee: String,
     /// Calls in one run, on the mean.
-    pub calls_count: f64,
+    pub calls_per_run: f64,
 }
 
 impl CallGraph {
     /// A run of a route began at the backend server.
-    pub fn run_began(&mut self, now: Duration, route: &str) {
+    pub fn run_started(&mut self, now: Duration, route: &str) {
         self.close_span(now);
         let known = self.runs.iter().position(|runs| runs.route == route);
         let place = match known {
@@ -169,7 +169,7 @@
     }
 
     /// The backend server made a call on a route.
-    pub fn called(&mut self, now: Duration, callee: &str) {
+    pub fn call_started(&mut self, now: Duration, callee: &str) {
         self.close_span(now);
         if let Some(calls) = self.calls.get_mut(callee) {
             calls.count += 1;
@@ -204,10 +204,10 @@
     }
 
     /// What one run of a route calls.
-    pub fn rows(&self, route: &str) -> Vec<CallEdge> {
+    pub fn edges(&self, route: &str) -> Vec<CallEdge> {
         let place = self.runs.iter().position(|runs| runs.route == route);
         if !self.is_settled() {
-            return self.first_rows(route);
+            return self.first_edges(route);
         }
         let place = place.map(|place| place + FIRST_ROUTE);
         let Some(place) = place else {
@@ -217,17 +217,17 @@
             return Vec::new();
         };
         let rows = self.calls.iter().map(|(callee, calls)| CallEdge {
-            route: callee.clone(),
-            calls_count: self.estimate(calls, &inverse, place),
+            callee: callee.clone(),
+            calls_per_run: self.estimate(calls, &inverse, place),
         });
-        rows.filter(|row| row.calls_count >= CALLS_LEAST_COUNT)
+        rows.filter(|row| row.calls_per_run >= CALLS_LEAST_COUNT)
             .collect()
     }
 
     /// What is said before enough was seen: where nearly all runs are of one route,
     /// the calls are taken to be its own. A surge may come with the very first
     /// requests, and until something is known all of them are let in.
-    fn first_rows(&self, route: &str) -> Vec<CallEdge> {
+    fn first_edges(&self, route: &str) -> Vec<CallEdge> {
         let all_count: u32 = self.runs.iter().map(|runs| runs.all_count).sum();
         let runs = self.runs.iter().find(|runs| runs.route == route);
         let Some(runs) = runs.filter(|runs| runs.all_count >= FIRST_RUNS_LEAST_COUNT) else {
@@ -238,10 +238,10 @@
         }
         let runs_count = f64::from(runs.all_count);
         let rows = self.calls.iter().map(|(callee, calls)| CallEdge {
-            route: callee.clone(),
-            calls_count: f64::from(calls.all_count) / runs_count,
+            callee: callee.clone(),
+            calls_per_run: f64::from(calls.all_count) / runs_count,
         });
-        rows.filter(|row| row.calls_count >= CALLS_LEAST_COUNT)
+        rows.filter(|row| row.calls_per_run >= CALLS_LEAST_COUNT)
             .collect()
     }
 
--- a/crates/kumquatquay-core/src/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/src/routed/call_tracer.rs
@@ -84,7 +84,7 @@
 
 impl CallTracer {
     /// A run of a route begins for a whole request of this rank, and was told this deadline.
-    pub fn run_began(
+    pub fn run_started(
         &mut self,
         route: &str,
         whole_priority: Priority,
@@ -105,7 +105,7 @@
 
     /// The backend server makes a call on a route, with this deadline; the rank of the whole
     /// request that it belongs to, if its run is found.
-    pub fn called(&mut self, callee: &str, deadline: Duration) -> Option<Priority> {
+    pub fn call_started(&mut self, callee: &str, deadline: Duration) -> Option<Priority> {
         let run = self.run_at(deadline);
         self.count_call(callee, run);
         run.map(|run| self.under_way[&run].whole_priority)
@@ -139,28 +139,31 @@
         known.count(now, &run.calls);
     }
 
-    /// What one run of a route calls, of the routes that are [told](Self::tells); `None` if
+    /// What one run of a route calls, of the routes that are [traceable](Self::is_traceable); `None` if
     /// that isn't known.
-    pub fn rows(&self, now: Duration, route: &str) -> Option<Vec<CallEdge>> {
+    pub fn edges(&self, now: Duration, route: &str) -> Option<Vec<CallEdge>> {
         let known = self.routes.get(route)?;
         let is_fresh = now < known.last_ended_well + LAPSE;
         if known.ended_well_count < RUNS_LEAST_COUNT || !is_fresh {
             return None;
         }
-        let told = known.calls.iter().filter(|(callee, _)| self.tells(callee));
+        let told = known
+            .calls
+            .iter()
+            .filter(|(callee, _)| self.is_traceable(callee));
         let rows = told.map(|(callee, calls_count)| CallEdge {
-            route: callee.clone(),
+            callee: callee.clone(),
             // Calls whose own time is shorter than that of their run lie at no deadline.
-            calls_count: calls_count / self.callees[callee].matched_ratio,
+            calls_per_run: calls_count / self.callees[callee].matched_ratio,
         });
         Some(
-            rows.filter(|row| row.calls_count >= ROW_LEAST_COUNT)
+            rows.filter(|row| row.calls_per_run >= ROW_LEAST_COUNT)
                 .collect(),
         )
     }
 
     /// Whether the deadlines of calls on a route tell which runs made them.
-    pub fn tells(&self, callee: &str) -> bool {
+    pub fn is_traceable(&self, callee: &str) -> bool {
         self.callees.get(callee).is_some_and(|callee| {
             callee.calls_count >= CALLS_LEAST_COUNT && callee.matched_ratio >= MATCHED_LEAST_RATIO
         })
--- a/crates/kumquatquay-core/src/routed/link_health.rs
+++ b/crates/kumquatquay-core/src/routed/link_health.rs
@@ -56,11 +56,11 @@
     /// Nothing.
     Keep,
     /// The peer is to be asked for a sign of life.
-    Ask,
+    Ping,
     /// New calls should go elsewhere.
     Avoid,
     /// The link is to be given up.
-    GiveUp,
+    Close,
 }
 
 impl LinkHealth {
@@ -77,12 +77,12 @@
     }
 
     /// A call was sent.
-    pub fn sent(&mut self, now: Duration) {
+    pub fn on_call_sent(&mut self, now: Duration) {
         self.waits_since.get_or_insert(now);
     }
 
     /// A frame came from the peer; `is_waited_for` if further calls wait.
-    pub fn heard(&mut self, now: Duration, is_waited_for: bool) {
+    pub fn on_frame(&mut self, now: Duration, is_waited_for: bool) {
         if let Some(asked) = self.asked.take() {
             let observed = now.saturating_sub(asked);
             let step = observed.as_secs_f64() - self.round_trip.as_secs_f64();
@@ -100,7 +100,7 @@
     }
 
     /// What is to be done now; `interval` is the time between two looks.
-    pub fn look(&mut self, now: Duration, interval: Duration, is_waited_for: bool) -> LinkAction {
+    pub fn check(&mut self, now: Duration, interval: Duration, is_waited_for: bool) -> LinkAction {
         let passed = now.saturating_sub(self.looked);
         self.looked = now;
         if !is_waited_for {
@@ -112,7 +112,7 @@
                 self.asked = Some(now);
             }
             return if is_quiet {
-                LinkAction::Ask
+                LinkAction::Ping
             } else {
                 LinkAction::Keep
             };
@@ -125,7 +125,7 @@
         let patience = SILENT_LEAST.max(self.round_trip * SILENT_ROUND_TRIPS);
         self.is_silent |= now >= asked + patience;
         if now >= asked + GIVE_UP_TIME {
-            LinkAction::GiveUp
+            LinkAction::Close
         } else if self.is_silent {
             LinkAction::Avoid
         } else {
--- a/crates/kumquatquay-core/src/routed/route_callers.rs
+++ b/crates/kumquatquay-core/src/routed/route_callers.rs
@@ -54,7 +54,7 @@
     }
 
     /// A call of a route came from a host of a service.
-    pub fn called(&mut self, now: Duration, route: &str, caller_service: &str) {
+    pub fn record_call(&mut self, now: Duration, route: &str, caller_service: &str) {
         if !self.routes.contains_key(route) {
             if self.routes.len() >= ROUTES_LIMIT_COUNT {
                 return;
--- a/crates/kumquatquay-core/tests/routed/call_graph.rs
+++ b/crates/kumquatquay-core/tests/routed/call_graph.rs
@@ -42,8 +42,8 @@
 
 fn tell(graph: &mut CallGraph, at: Duration, event: Event) {
     match event {
-        Event::Began(route) => graph.run_began(at, route),
-        Event::Called => graph.called(at, "lookup"),
+        Event::Began(route) => graph.run_started(at, route),
+        Event::Called => graph.call_started(at, "lookup"),
         Event::Failed => graph.call_failed(at, "lookup"),
         Event::Ended(route) => graph.run_ended(at, route),
     }
@@ -82,8 +82,8 @@
 }
 
 fn calls_of(graph: &CallGraph, route: &str) -> f64 {
-    let rows = graph.rows(route);
-    rows.first().map_or(0.0, |row| row.calls_count)
+    let rows = graph.edges(route);
+    rows.first().map_or(0.0, |row| row.calls_per_run)
 }
 
 fn permits_and_uploads() -> [Kind; 2] {
--- a/crates/kumquatquay-core/tests/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/tests/routed/call_tracer.rs
@@ -6,16 +6,16 @@
 
 /// A run that makes some calls, one after the other, and ends; its deadline is 1 s away.
 fn run(tracer: &mut CallTracer, at: u64, route: &str, calls: &[&str], is_well: bool) {
-    let number = tracer.run_began(route, 0, at_ms(at + 1_000));
+    let number = tracer.run_started(route, 0, at_ms(at + 1_000));
     for callee in calls {
-        tracer.called(callee, at_ms(at + 1_000));
+        tracer.call_started(callee, at_ms(at + 1_000));
     }
     tracer.run_ended(at_ms(at + 50), number, is_well);
 }
 
 fn calls_count(rows: &[CallEdge], callee: &str) -> f64 {
-    let row = rows.iter().find(|row| row.route == callee);
-    row.map_or(0.0, |row| row.calls_count)
+    let row = rows.iter().find(|row| row.callee == callee);
+    row.map_or(0.0, |row| row.calls_per_run)
 }
 
 /// Searches make two calls each, uploads run beside them and make none. Seen as sums over
@@ -26,13 +26,13 @@
     let mut tracer = CallTracer::default();
     for round in 0..30 {
         let at = round * 20;
-        let upload = tracer.run_began("upload", 0, at_ms(at + 1_007));
+        let upload = tracer.run_started("upload", 0, at_ms(at + 1_007));
         run(&mut tracer, at, "search", &["lookup", "lookup"], true);
         tracer.run_ended(at_ms(at + 60), upload, true);
     }
-    let rows = tracer.rows(at_ms(700), "search").unwrap();
+    let rows = tracer.edges(at_ms(700), "search").unwrap();
     assert!((calls_count(&rows, "lookup") - 2.0).abs() < 0.1, "{rows:?}");
-    assert_eq!(tracer.rows(at_ms(700), "upload"), Some(Vec::new()));
+    assert_eq!(tracer.edges(at_ms(700), "upload"), Some(Vec::new()));
 }
 
 /// The deepest service turns most calls away. A run that loses its first call ends without
@@ -47,7 +47,7 @@
     for round in 40..400 {
         run(&mut tracer, round * 10, "manifest", &["index"], false);
     }
-    let rows = tracer.rows(at_ms(4_100), "manifest").unwrap();
+    let rows = tracer.edges(at_ms(4_100), "manifest").unwrap();
     assert!((calls_count(&rows, "index") - 5.0).abs() < 0.1, "{rows:?}");
 }
 
@@ -58,25 +58,25 @@
     let mut tracer = CallTracer::default();
     for round in 0..60 {
         let at = round * 10;
-        let number = tracer.run_began("manifest", 0, at_ms(at + 1_000));
+        let number = tracer.run_started("manifest", 0, at_ms(at + 1_000));
         for call in 0..5 {
             let due = if call < 2 { 700 } else { 1_000 };
-            tracer.called("index", at_ms(at + due + 5));
-            tracer.called("index", at_ms(at + due));
+            tracer.call_started("index", at_ms(at + due + 5));
+            tracer.call_started("index", at_ms(at + due));
         }
         tracer.run_ended(at_ms(at + 3), number, true);
     }
-    assert!(!tracer.tells("index"));
+    assert!(!tracer.is_traceable("index"));
     for round in 0..200 {
         let at = 2_000 + round * 10;
-        let number = tracer.run_began("manifest", 0, at_ms(at + 1_000));
+        let number = tracer.run_started("manifest", 0, at_ms(at + 1_000));
         for call in 0..5 {
             let due = if call < 1 { 705 } else { 1_000 };
-            tracer.called("index", at_ms(at + due));
+            tracer.call_started("index", at_ms(at + due));
         }
         tracer.run_ended(at_ms(at + 3), number, true);
     }
-    let rows = tracer.rows(at_ms(4_100), "manifest").unwrap();
+    let rows = tracer.edges(at_ms(4_100), "manifest").unwrap();
     assert!((calls_count(&rows, "index") - 5.0).abs() < 0.4, "{rows:?}");
 }
 
@@ -87,12 +87,12 @@
     let mut tracer = CallTracer::default();
     for round in 0..60 {
         let at = round * 10;
-        let number = tracer.run_began("search", 0, at_ms(at + 1_000));
-        tracer.called("lookup", at_ms(at + 305));
+        let number = tracer.run_started("search", 0, at_ms(at + 1_000));
+        tracer.call_started("lookup", at_ms(at + 305));
         tracer.run_ended(at_ms(at + 3), number, true);
     }
-    assert!(!tracer.tells("lookup"));
-    assert_eq!(tracer.rows(at_ms(700), "search"), Some(Vec::new()));
+    assert!(!tracer.is_traceable("lookup"));
+    assert_eq!(tracer.edges(at_ms(700), "search"), Some(Vec::new()));
 }
 
 /// A route of which no run has ended well for half a minute may have changed its ways.
@@ -102,6 +102,6 @@
     for round in 0..40 {
         run(&mut tracer, round * 10, "search", &["lookup"], true);
     }
-    assert!(tracer.rows(at_ms(1_000), "search").is_some());
-    assert_eq!(tracer.rows(at_ms(40_000), "search"), None);
+    assert!(tracer.edges(at_ms(1_000), "search").is_some());
+    assert_eq!(tracer.edges(at_ms(40_000), "search"), None);
 }
--- a/crates/kumquatquay-core/tests/routed/caller_census.rs
+++ b/crates/kumquatquay-core/tests/routed/caller_census.rs
@@ -9,7 +9,7 @@
 fn census(route: &str, callers: &[&str]) -> RouteCallers {
     let mut census = RouteCallers::default();
     for caller in callers {
-        census.called(at_ms(0), route, caller);
+        census.record_call(at_ms(0), route, caller);
     }
     census
 }
@@ -49,7 +49,7 @@
 fn the_first_calls_of_a_route_of_people_show_it() {
     let mut census = RouteCallers::at("archive");
     for caller in ["settlement", "archive", "archive", "settlement"] {
-        census.called(at_ms(0), "history", caller);
+        census.record_call(at_ms(0), "history", caller);
     }
     assert!(census.is_from_outside(at_ms(10), "history", 4));
 }
@@ -60,7 +60,7 @@
 fn the_first_calls_of_two_other_services_are_not_of_people() {
     let mut census = RouteCallers::at("register");
     for caller in ["settlement", "archive", "archive", "settlement"] {
-        census.called(at_ms(0), "lookup", caller);
+        census.record_call(at_ms(0), "lookup", caller);
     }
     assert!(!census.is_from_outside(at_ms(10), "lookup", 4));
 }
@@ -72,7 +72,7 @@
     let mut census = RouteCallers::at("archive");
     for call in 0..100 {
         let caller = if call % 2 == 0 { "archive" } else { "survey" };
-        census.called(at_ms(0), "part", caller);
+        census.record_call(at_ms(0), "part", caller);
     }
     assert!(!census.is_from_outside(at_ms(10), "part", 4));
 }
--- a/crates/kumquatquay-core/tests/routed/link_health.rs
+++ b/crates/kumquatquay-core/tests/routed/link_health.rs
@@ -12,7 +12,7 @@
 fn next_step(health: &mut LinkHealth, from_ms: u64, is_waited_for: bool) -> (u64, LinkAction) {
     let mut now_ms = from_ms;
     loop {
-        let step = health.look(at_ms(now_ms), INTERVAL, is_waited_for);
+        let step = health.check(at_ms(now_ms), INTERVAL, is_waited_for);
         if step != LinkAction::Keep {
             return (now_ms, step);
         }
@@ -26,13 +26,13 @@
 #[test]
 fn a_link_that_went_silent_is_avoided_soon_and_given_up_late() {
     let mut health = LinkHealth::new(at_ms(0));
-    health.sent(at_ms(10));
-    health.heard(at_ms(20), true);
-    assert_eq!(next_step(&mut health, 50, true), (250, LinkAction::Ask));
+    health.on_call_sent(at_ms(10));
+    health.on_frame(at_ms(20), true);
+    assert_eq!(next_step(&mut health, 50, true), (250, LinkAction::Ping));
     assert_eq!(next_step(&mut health, 300, true), (400, LinkAction::Avoid));
     assert!(health.is_silent());
     let mut now_ms = 450;
-    while health.look(at_ms(now_ms), INTERVAL, true) == LinkAction::Avoid {
+    while health.check(at_ms(now_ms), INTERVAL, true) == LinkAction::Avoid {
         now_ms += 50;
     }
     assert_eq!(now_ms, 1_850);
@@ -42,11 +42,11 @@
 #[test]
 fn a_peer_that_answers_the_question_is_not_silent() {
     let mut health = LinkHealth::new(at_ms(0));
-    health.sent(at_ms(0));
+    health.on_call_sent(at_ms(0));
     for round in 0..20 {
         let (asked_ms, step) = next_step(&mut health, 50 + round * 300, true);
-        assert_eq!(step, LinkAction::Ask);
-        health.heard(at_ms(asked_ms + 20), true);
+        assert_eq!(step, LinkAction::Ping);
+        health.on_frame(at_ms(asked_ms + 20), true);
         assert!(!health.is_silent());
     }
 }
@@ -56,11 +56,11 @@
 #[test]
 fn quiet_before_the_call_does_not_count() {
     let mut health = LinkHealth::new(at_ms(0));
-    health.heard(at_ms(100), false);
-    health.sent(at_ms(1_200));
+    health.on_frame(at_ms(100), false);
+    health.on_call_sent(at_ms(1_200));
     assert_eq!(
         next_step(&mut health, 1_200, true),
-        (1_400, LinkAction::Ask)
+        (1_400, LinkAction::Ping)
     );
 }
 
@@ -69,12 +69,12 @@
 #[test]
 fn a_pause_of_this_node_makes_no_peer_silent() {
     let mut health = LinkHealth::new(at_ms(0));
-    health.sent(at_ms(0));
-    assert_eq!(next_step(&mut health, 50, true), (200, LinkAction::Ask));
-    assert_eq!(health.look(at_ms(1_200), INTERVAL, true), LinkAction::Keep);
+    health.on_call_sent(at_ms(0));
+    assert_eq!(next_step(&mut health, 50, true), (200, LinkAction::Ping));
+    assert_eq!(health.check(at_ms(1_200), INTERVAL, true), LinkAction::Keep);
     assert!(!health.is_silent());
-    health.heard(at_ms(1_201), true);
-    assert_eq!(health.look(at_ms(1_250), INTERVAL, true), LinkAction::Keep);
+    health.on_frame(at_ms(1_201), true);
+    assert_eq!(health.check(at_ms(1_250), INTERVAL, true), LinkAction::Keep);
 }
 
 /// A data centre far away answers after 60 ms. A link to it is not silent before ten
@@ -84,15 +84,15 @@
     let mut health = LinkHealth::new(at_ms(0));
     let mut now_ms = 0;
     for _ in 0..30 {
-        health.sent(at_ms(now_ms));
+        health.on_call_sent(at_ms(now_ms));
         let (asked_ms, _) = next_step(&mut health, now_ms + 50, true);
         now_ms = asked_ms + 60;
-        health.heard(at_ms(now_ms), true);
+        health.on_frame(at_ms(now_ms), true);
     }
     let (asked_ms, _) = next_step(&mut health, now_ms + 50, true);
     let (avoided_ms, step) = next_step(&mut health, asked_ms + 50, true);
     assert_eq!(step, LinkAction::Avoid);
     assert_eq!(avoided_ms - asked_ms, 600);
-    health.heard(at_ms(avoided_ms + 10), true);
+    health.on_frame(at_ms(avoided_ms + 10), true);
     assert!(!health.is_silent());
 }
--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -214,11 +214,11 @@
     let now = node.now();
     let call = pending.call;
     let route = &call.route.settings.name;
-    node.call_graph.borrow_mut().called(now, route);
+    node.call_graph.borrow_mut().call_started(now, route);
     let Some(expires) = pending.expires else {
         return;
     };
-    let whole_priority = node.call_tracer.borrow_mut().called(route, expires);
+    let whole_priority = node.call_tracer.borrow_mut().call_started(route, expires);
     if let Some(priority) = whole_priority.filter(|_| node.is_on(Mechanism::RequestPriority)) {
         call.whole_priority.set(priority);
     }
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -137,7 +137,7 @@
         may_have_run: may_have_run.clone(),
     };
     link.pending.borrow_mut().insert(number, pending);
-    link.health.borrow_mut().sent(now);
+    link.health.borrow_mut().on_call_sent(now);
     let _canceller = Canceller {
         link: &link,
         number,
@@ -297,7 +297,7 @@
 
 fn on_activity(node: &RoutedNode, link: &Link) {
     let is_waited_for = !link.pending.borrow().is_empty();
-    link.health.borrow_mut().heard(node.now(), is_waited_for);
+    link.health.borrow_mut().on_frame(node.now(), is_waited_for);
     // Each call on the link watches this; told of each frame, all of them would wake up for
     // each: that took as much processor time as everything else in an overload.
     let was_silent = link.is_silent.send_if_modified(std::mem::take);
@@ -401,9 +401,9 @@
 fn watch_link(node: &RoutedNode, link: &Link) {
     let is_waited_for = !link.pending.borrow().is_empty();
     let mut health = link.health.borrow_mut();
-    match health.look(node.now(), WATCH_INTERVAL, is_waited_for) {
+    match health.check(node.now(), WATCH_INTERVAL, is_waited_for) {
         LinkAction::Keep => {}
-        LinkAction::Ask => {
+        LinkAction::Ping => {
             link.frames.push(&ping_frame(node));
         }
         LinkAction::Avoid if !node.is_on(Mechanism::SilentLinks) => {}
@@ -416,6 +416,6 @@
                     "no sign of life: calls go elsewhere");
             }
         }
-        LinkAction::GiveUp => link.end.notify_one(),
+        LinkAction::Close => link.end.notify_one(),
     }
 }
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -70,7 +70,7 @@
     node.level_controller.borrow_mut().on_arrival(heard, work);
     node.route_callers
         .borrow_mut()
-        .called(now, call.route, call.caller_service);
+        .record_call(now, call.route, call.caller_service);
     let due = now + Duration::from_millis(call.target_latency_ms);
     let timed = Timed {
         call,
@@ -322,8 +322,8 @@
         let number =
             node.call_tracer
                 .borrow_mut()
-                .run_began(call.route, call.whole_priority, deadline);
-        node.call_graph.borrow_mut().run_began(now, call.route);
+                .run_started(call.route, call.whole_priority, deadline);
+        node.call_graph.borrow_mut().run_started(now, call.route);
         node.backend_liveness.borrow_mut().call_started(now);
         Self {
             node,
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -388,11 +388,11 @@
         let (rows, is_traced) = self.call_rows(now, route);
         for row in rows {
             // Before it was known that people use a route, its calls were counted.
-            if levels.is_from_outside(now, &row.route) != Some(false) {
+            if levels.is_from_outside(now, &row.callee) != Some(false) {
                 continue;
             }
-            for demand in levels.all_demands(now, &row.route) {
-                let demand = demand.scaled(row.calls_count as f32);
+            for demand in levels.all_demands(now, &row.callee) {
+                let demand = demand.scaled(row.calls_per_run as f32);
                 let known = leads_to.entry(demand.service.clone()).or_default();
                 *known = demand.and(known);
             }
@@ -422,23 +422,27 @@
 
     /// What one run of a route calls, and whether all of it was seen run by run.
     fn call_rows(&self, now: Duration, route: &str) -> (Vec<CallEdge>, bool) {
-        let fitted = self.call_graph.borrow().rows(route);
+        let fitted = self.call_graph.borrow().edges(route);
         if !self.is_on(Mechanism::TracedCalls) {
             return (fitted, false);
         }
         let tracer = self.call_tracer.borrow();
-        let Some(mut rows) = tracer.rows(now, route) else {
+        let Some(mut rows) = tracer.edges(now, route) else {
             return (fitted, false);
         };
         // Routes whose deadlines tell nothing are left to the fit. While it has not seen enough,
         // what is known run by run is not all: taken for all, it says of a route that it leads
         // nowhere.
-        rows.extend(fitted.into_iter().filter(|row| !tracer.tells(&row.route)));
+        rows.extend(
+            fitted
+                .into_iter()
+                .filter(|row| !tracer.is_traceable(&row.callee)),
+        );
         let is_all = self
             .call_graph
             .borrow()
             .callees()
-            .all(|callee| tracer.tells(callee));
+            .all(|callee| tracer.is_traceable(callee));
         (rows, is_all)
     }
 
