--- a/crates/kumquatquay-core/src/configuration/reading.rs
+++ b/crates/kumquatquay-core/src/configuration/reading.rs
@@ -186,7 +186,7 @@
         on_failed(board, now, read, out);
         return;
     }
-    if board.configuration.reader.eras.is_over(answer.era) {
+    if board.configuration.reader.eras.is_past(answer.era) {
         // It was answered before the log came back from a copy.
         on_failed(board, now, read, out);
         return;
@@ -217,7 +217,7 @@
 /// has read, so the last one is checked before anything is taken in.
 fn has_returned(board: &mut Blackboard, era: Option<StoreEra>, out: &mut Vec<Output>) -> bool {
     let reader = &mut board.configuration.reader;
-    let EraChange::Returned { before } = reader.eras.seen(era) else {
+    let EraChange::Restored { previous } = reader.eras.observe(era) else {
         return false;
     };
     reader.must_verify = true;
@@ -232,7 +232,7 @@
             "the log came back from an older copy, in era {}, after era {}; what is in \
              force stays so, and the last record that was read is looked for",
             era.unwrap_or_default(),
-            before.unwrap_or_default()
+            previous.unwrap_or_default()
         ),
     )));
     true
--- a/crates/kumquatquay-core/src/membership/seed_log.rs
+++ b/crates/kumquatquay-core/src/membership/seed_log.rs
@@ -92,7 +92,7 @@
             ..
         } => {
             seeds.read = None;
-            if let EraChange::Returned { .. } = seeds.eras.seen(era) {
+            if let EraChange::Restored { .. } = seeds.eras.observe(era) {
                 // Offsets are given out again; seeds that are lost are appended in turn.
                 seeds.from = None;
             }
--- a/crates/kumquatquay-core/src/operations/claims.rs
+++ b/crates/kumquatquay-core/src/operations/claims.rs
@@ -170,7 +170,7 @@
         LogInput::AppendRefused { .. } => on_append_refused(board, now, id, out),
         LogInput::AppendUnsure { .. } => on_append_unsure(board, now, id, out),
         LogInput::ReadFailed { .. } => on_failure(board, now, id, out),
-        LogInput::Read { era, .. } if board.operations.log_eras.is_over(era) => {
+        LogInput::Read { era, .. } if board.operations.log_eras.is_past(era) => {
             on_failure(board, now, id, out);
         }
         LogInput::Read {
--- a/crates/kumquatquay-core/src/operations/controller.rs
+++ b/crates/kumquatquay-core/src/operations/controller.rs
@@ -354,7 +354,7 @@
     let LogInput::Read { era, .. } = input else {
         return;
     };
-    if let EraChange::Returned { .. } = board.operations.log_eras.seen(*era) {
+    if let EraChange::Restored { .. } = board.operations.log_eras.observe(*era) {
         claim_reading::on_log_returned(board, now, out);
         resume(board, now, out);
     }
--- a/crates/kumquatquay-core/src/routed/era_tracker.rs
+++ b/crates/kumquatquay-core/src/routed/era_tracker.rs
@@ -25,7 +25,7 @@
 pub struct EraTracker {
     known: Option<StoreEra>,
     /// Whether the store answered without an era, before it told any.
-    has_told_none: bool,
+    has_answer_without_era: bool,
 }
 
 /// What an era says of the store.
@@ -36,51 +36,51 @@
     /// It is the first one that is known.
     First,
     /// The store has come back from a copy since.
-    Returned {
+    Restored {
         /// The highest one that was known before; `None` if the store told none.
-        before: Option<StoreEra>,
+        previous: Option<StoreEra>,
     },
     /// It is too far ahead to be true.
-    Senseless,
+    Implausible,
 }
 
 impl EraTracker {
     /// The highest one that is known.
-    pub fn known(&self) -> Option<StoreEra> {
+    pub fn highest(&self) -> Option<StoreEra> {
         self.known
     }
 
     /// Whether an answer that tells this is of an era that is over.
-    pub fn is_over(&self, era: Option<StoreEra>) -> bool {
+    pub fn is_past(&self, era: Option<StoreEra>) -> bool {
         era.is_some() && era < self.known
     }
 
     /// An answer of the store told it, or none.
-    pub fn seen(&mut self, era: Option<StoreEra>) -> EraChange {
+    pub fn observe(&mut self, era: Option<StoreEra>) -> EraChange {
         let Some(era) = era else {
-            self.has_told_none |= self.known.is_none();
+            self.has_answer_without_era |= self.known.is_none();
             return EraChange::None;
         };
-        let before = self.known;
-        if before.is_some_and(|before| era <= before) {
+        let previous = self.known;
+        if previous.is_some_and(|previous| era <= previous) {
             return EraChange::None;
         }
         self.known = Some(era);
-        if before.is_some() || self.has_told_none {
-            EraChange::Returned { before }
+        if previous.is_some() || self.has_answer_without_era {
+            EraChange::Restored { previous }
         } else {
             EraChange::First
         }
     }
 
     /// Another node, which knows of answers of the store, told it, or knows none.
-    pub fn told(&mut self, era: Option<StoreEra>) -> EraChange {
+    pub fn observe_from_peer(&mut self, era: Option<StoreEra>) -> EraChange {
         let most = self
             .known
             .map(|known| known.saturating_add(AHEAD_LIMIT_COUNT));
         match (era, most) {
-            (Some(era), Some(most)) if era > most => EraChange::Senseless,
-            _ => self.seen(era),
+            (Some(era), Some(most)) if era > most => EraChange::Implausible,
+            _ => self.observe(era),
         }
     }
 }
--- a/crates/kumquatquay-core/src/routed/freshness_proof.rs
+++ b/crates/kumquatquay-core/src/routed/freshness_proof.rs
@@ -79,7 +79,7 @@
 
 impl FreshnessProof {
     /// A configuration is in force now; a lower version changes nothing.
-    pub fn applied(&mut self, version: RouteVersion) {
+    pub fn on_applied(&mut self, version: RouteVersion) {
         self.version = self.version.max(version);
         if let Some((ahead, moment)) = self.ahead
             && ahead <= self.version
@@ -90,7 +90,7 @@
     }
 
     /// The store has come back from a copy, in this era.
-    pub fn returned(&mut self, now: Duration, era: StoreEra) {
+    pub fn on_store_restored(&mut self, now: Duration, era: StoreEra) {
         if self.returned.as_ref().is_none_or(|known| era > known.era) {
             self.returned = Some(Return {
                 era,
@@ -102,7 +102,7 @@
     }
 
     /// The store has a configuration in an era.
-    pub fn stored(&mut self, era: Option<StoreEra>, version: RouteVersion) {
+    pub fn on_store_version(&mut self, era: Option<StoreEra>, version: RouteVersion) {
         if let Some(returned) = &mut self.returned
             && returned.holds_in(era)
         {
@@ -122,7 +122,7 @@
 
     /// A read of the store that began at `asked` was answered in an era, and all that it brought
     /// is in force or older.
-    pub fn read(&mut self, asked: Duration, era: Option<StoreEra>) {
+    pub fn on_store_read(&mut self, asked: Duration, era: Option<StoreEra>) {
         let returned = self.returned.as_ref();
         let returned = returned.filter(|returned| returned.holds_in(era));
         let may_lack = returned
@@ -137,7 +137,7 @@
     /// What makes no sense is passed over: a question from the future, a proof from before the
     /// clock began. So is a proof from the time in which the store is filled again, or of a node
     /// that lacks what the store lost: one that has just started doesn't know of the return.
-    pub fn told(&mut self, now: Duration, told: PeerProof) {
+    pub fn on_peer_proof(&mut self, now: Duration, told: PeerProof) {
         let Some(moment) = told.age.and_then(|age| told.asked.checked_sub(age)) else {
             return;
         };
--- a/crates/kumquatquay-core/src/routed/log_read.rs
+++ b/crates/kumquatquay-core/src/routed/log_read.rs
@@ -4,7 +4,7 @@
 
 /// Times that one read starts over; the store comes back once in a while, so a read that meets
 /// more returns than this is one of a broken store.
-const START_OVER_LIMIT_COUNT: u32 = 3;
+const RESTARTS_LIMIT_COUNT: u32 = 3;
 
 /// Where reads of a topic go on: the first offset that was not read yet, in an era of the store.
 ///
@@ -22,13 +22,13 @@
     /// Begins a read; several may be under way.
     pub fn begin(&self) -> LogRead {
         let stage = match self.next {
-            Some(from) => Stage::GoOn { from },
+            Some(from) => Stage::Resume { from },
             None => Stage::Newest { after: None },
         };
         LogRead {
             era: self.era,
             stage,
-            starts_over_count: 0,
+            restarts_count: 0,
             end: None,
         }
     }
@@ -58,14 +58,14 @@
         /// Offset of the first one.
         from: u64,
         /// Whether the store may hold the call until there is one.
-        may_wait: bool,
+        may_hold: bool,
     },
     /// The read has ended.
     Done {
         /// The era that it belongs to.
         era: Option<StoreEra>,
         /// Whether all that the store had when it was asked has been read by now.
-        is_all: bool,
+        is_complete: bool,
     },
     /// The read was answered from an era that is over: records that it brought were confirmed
     /// once, and it says nothing of what the store has now.
@@ -99,9 +99,9 @@
         end: u64,
     },
     /// The store doesn't have that offset: it has expired, or hasn't been given out.
-    Gone {
+    OffsetUnavailable {
         /// Offset of the oldest record that is kept, if that was told.
-        first: Option<u64>,
+        oldest_offset: Option<u64>,
     },
 }
 
@@ -120,17 +120,17 @@
     /// Era of what was read last.
     era: Option<StoreEra>,
     stage: Stage,
-    starts_over_count: u32,
+    restarts_count: u32,
     /// End of the topic on the first page of newest records.
     end: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    GoOn { from: u64 },
+    Resume { from: u64 },
     Newest { after: Option<String> },
     History { from: u64, has_expired: bool },
-    Ended { is_all: bool },
+    Ended { is_complete: bool },
     Outdated,
 }
 
@@ -138,20 +138,20 @@
     /// The next call.
     pub fn step(&self) -> LogStep {
         match &self.stage {
-            Stage::GoOn { from } => LogStep::Records {
+            Stage::Resume { from } => LogStep::Records {
                 from: *from,
-                may_wait: true,
+                may_hold: true,
             },
             Stage::Newest { after } => LogStep::Newest {
                 after: after.clone(),
             },
             Stage::History { from, .. } => LogStep::Records {
                 from: *from,
-                may_wait: false,
+                may_hold: false,
             },
-            Stage::Ended { is_all } => LogStep::Done {
+            Stage::Ended { is_complete } => LogStep::Done {
                 era: self.era,
-                is_all: *is_all,
+                is_complete: *is_complete,
             },
             Stage::Outdated => LogStep::Outdated,
         }
@@ -167,7 +167,7 @@
         }
         let is_first = self.is_first_call();
         if era > self.era && !is_first {
-            self.start_over(position, era);
+            self.restart_in_era(position, era);
             return;
         }
         self.era = era;
@@ -176,7 +176,9 @@
             LogPage::Records { offsets_count, end } => {
                 self.on_records(position, offsets_count, end);
             }
-            LogPage::Gone { first } => self.on_gone(position, first),
+            LogPage::OffsetUnavailable { oldest_offset } => {
+                self.on_offset_unavailable(position, oldest_offset)
+            }
         }
     }
 
@@ -185,27 +187,27 @@
         matches!(self.stage, Stage::Newest { after: None })
     }
 
-    fn start_over(&mut self, position: &mut LogPosition, era: Option<StoreEra>) {
+    fn restart_in_era(&mut self, position: &mut LogPosition, era: Option<StoreEra>) {
         if position.era < era {
             *position = LogPosition { era, next: None };
         }
         self.era = era;
-        self.read_anew();
+        self.restart();
     }
 
     /// The store doesn't go on where this topic was read to, whatever the era.
-    fn lose_place(&mut self, position: &mut LogPosition) {
+    fn discard_position(&mut self, position: &mut LogPosition) {
         if position.era == self.era {
             position.next = None;
         }
-        self.read_anew();
+        self.restart();
     }
 
-    fn read_anew(&mut self) {
+    fn restart(&mut self) {
         self.end = None;
-        self.starts_over_count += 1;
-        self.stage = if self.starts_over_count > START_OVER_LIMIT_COUNT {
-            Stage::Ended { is_all: false }
+        self.restarts_count += 1;
+        self.stage = if self.restarts_count > RESTARTS_LIMIT_COUNT {
+            Stage::Ended { is_complete: false }
         } else {
             Stage::Newest { after: None }
         };
@@ -224,25 +226,25 @@
 
     fn on_records(&mut self, position: &mut LogPosition, offsets_count: u64, end: u64) {
         let from = match self.stage {
-            Stage::GoOn { from } if end < from => {
+            Stage::Resume { from } if end < from => {
                 // Behind the end of the log: it isn't the one that was read before.
-                self.lose_place(position);
+                self.discard_position(position);
                 return;
             }
-            Stage::GoOn { from } | Stage::History { from, .. } => from,
+            Stage::Resume { from } | Stage::History { from, .. } => from,
             Stage::Newest { .. } | Stage::Ended { .. } | Stage::Outdated => return,
         };
         self.read_through(position, from + offsets_count, end);
     }
 
-    fn on_gone(&mut self, position: &mut LogPosition, first: Option<u64>) {
+    fn on_offset_unavailable(&mut self, position: &mut LogPosition, oldest_offset: Option<u64>) {
         match self.stage {
-            Stage::GoOn { .. } => self.lose_place(position),
+            Stage::Resume { .. } => self.discard_position(position),
             Stage::History {
                 has_expired: false, ..
             } => {
                 // What a store that doesn't tell has kept is behind the end that it told.
-                let from = first.or(self.end).unwrap_or_default();
+                let from = oldest_offset.or(self.end).unwrap_or_default();
                 self.stage = Stage::History {
                     from,
                     has_expired: true,
@@ -250,7 +252,7 @@
             }
             Stage::History { from, .. } => {
                 position.read_through(self.era, from);
-                self.stage = Stage::Ended { is_all: false };
+                self.stage = Stage::Ended { is_complete: false };
             }
             Stage::Newest { .. } | Stage::Ended { .. } | Stage::Outdated => {}
         }
@@ -259,7 +261,7 @@
     fn read_through(&mut self, position: &mut LogPosition, next: u64, end: u64) {
         self.stage = if position.read_through(self.era, next) {
             Stage::Ended {
-                is_all: next >= end,
+                is_complete: next >= end,
             }
         } else {
             Stage::Outdated
--- a/crates/kumquatquay-core/src/routed/store_poller.rs
+++ b/crates/kumquatquay-core/src/routed/store_poller.rs
@@ -108,7 +108,7 @@
     /// Where in the time for first reads this node has its own, from 0 to 1.
     start_place: f64,
     has_read: bool,
-    is_ailing: bool,
+    is_store_unavailable: bool,
     is_under_way: bool,
     /// Whether the store answers others and not this node.
     is_turned_away: bool,
@@ -174,7 +174,7 @@
             next_at: now,
             started: now,
             has_read: false,
-            is_ailing: false,
+            is_store_unavailable: false,
             is_under_way: false,
             is_turned_away: false,
             after_news: AFTER_NEWS_LEAST,
@@ -194,7 +194,7 @@
 
     /// Follows so closely that the configuration is proved to be the newest within this time.
     #[must_use]
-    pub fn proof_within(mut self, bound: Duration) -> Self {
+    pub fn with_proof_bound(mut self, bound: Duration) -> Self {
         self.proof_bound = Some(bound);
         self
     }
@@ -202,7 +202,7 @@
     /// What is to be done now.
     pub fn step(&mut self, now: Duration, fleet: PollerFleet) -> PollStep {
         if std::mem::take(&mut self.has_returned) && fleet.readers.is_reader {
-            self.want(now, fleet.nodes_count);
+            self.request_read(now, fleet.nodes_count);
         }
         if self.wanted_at.is_some_and(|wanted_at| now >= wanted_at) {
             self.wanted_at = None;
@@ -219,9 +219,9 @@
         let nodes_count = u32::try_from(fleet.nodes_count).unwrap_or(u32::MAX);
         let readers_count = u32::try_from(fleet.readers.count).unwrap_or(u32::MAX);
         let is_told = now < self.untold_at(nodes_count);
-        if !fleet.readers.is_reader && is_told && (self.is_ailing || self.is_under_way) {
+        if !fleet.readers.is_reader && is_told && (self.is_store_unavailable || self.is_under_way) {
             // Peers tell what this node asked for.
-            self.is_ailing = false;
+            self.is_store_unavailable = false;
             self.is_under_way = false;
             self.next_at = now;
         }
@@ -233,16 +233,16 @@
                 until: others.fold(due, Duration::min),
             };
         }
-        let is_waiting = !self.is_ailing && !self.is_under_way;
+        let is_waiting = !self.is_store_unavailable && !self.is_under_way;
         if !fleet.readers.is_reader && is_waiting && self.asks(now, nodes_count) {
             return PollStep::AskReader;
         }
         // A read under way is overdue.
-        self.is_ailing |= self.is_under_way;
+        self.is_store_unavailable |= self.is_under_way;
         self.is_under_way = true;
         self.has_read = true;
         self.after_news = AFTER_NEWS_LEAST.max(AFTER_NEWS_PER_NODE * nodes_count);
-        if self.is_ailing {
+        if self.is_store_unavailable {
             self.is_turned_away = is_told && self.answers_count > 0;
             let factor = if self.is_turned_away {
                 TURNED_AWAY_FACTOR
@@ -303,11 +303,11 @@
             self.started + start.mul_f64(self.start_place)
         };
         let due = self.next_at.max(first_at);
-        if self.is_ailing && self.is_turned_away {
+        if self.is_store_unavailable && self.is_turned_away {
             // Nobody else is answered any more either.
             return due.min(self.untold_at(nodes_count));
         }
-        if readers.is_reader || self.is_ailing || self.is_under_way {
+        if readers.is_reader || self.is_store_unavailable || self.is_under_way {
             due
         } else {
             due.max(self.untold_at(nodes_count))
@@ -335,7 +335,7 @@
     }
 
     /// The configuration in force was the newest at this moment.
-    pub fn proven(&mut self, moment: Duration) {
+    pub fn on_proof(&mut self, moment: Duration) {
         if self.proven.is_none_or(|proven| moment > proven) {
             self.proven = Some(moment);
             self.asks_until = None;
@@ -344,7 +344,7 @@
 
     /// Somebody waits for a read that begins now or later. Reads out of turn have a pause between
     /// them that grows with the fleet: whoever makes nodes want them can't flood the store.
-    pub fn want(&mut self, now: Duration, nodes_count: usize) {
+    pub fn request_read(&mut self, now: Duration, nodes_count: usize) {
         let nodes_count = u32::try_from(nodes_count).unwrap_or(u32::MAX);
         let pause = WANTED_LEAST.max(WANTED_PER_NODE * nodes_count);
         let earliest = self.wanted_last.map_or(now, |last| now.max(last + pause));
@@ -352,14 +352,14 @@
     }
 
     /// The store answered a read; the others under way are to be dropped.
-    pub fn answered(&mut self, now: Duration, has_news: bool) {
+    pub fn on_answer(&mut self, now: Duration, has_news: bool) {
         let pause = if has_news {
             self.after_news.mul_f64(self.random.random())
         } else {
             Duration::ZERO
         };
         self.next_at = now + pause;
-        self.is_ailing = false;
+        self.is_store_unavailable = false;
         self.is_under_way = false;
         self.answered = now;
         self.has_returned = false;
@@ -367,8 +367,8 @@
     }
 
     /// An answer of the store told its era, whatever else it was.
-    pub fn era_seen(&mut self, now: Duration, era: Option<StoreEra>) -> EraChange {
-        let news = self.eras.seen(era);
+    pub fn on_store_era(&mut self, now: Duration, era: Option<StoreEra>) -> EraChange {
+        let news = self.eras.observe(era);
         self.begin_era(now, news);
         news
     }
@@ -376,14 +376,19 @@
     /// Another node knows of so many answers of the store in an era.
     ///
     /// Those of an era that is over are no word of the store as it is now.
-    pub fn told(&mut self, now: Duration, era: Option<StoreEra>, answers_count: u64) -> EraChange {
+    pub fn on_peer_state(
+        &mut self,
+        now: Duration,
+        era: Option<StoreEra>,
+        answers_count: u64,
+    ) -> EraChange {
         let news = if era.is_some() || answers_count > 0 {
-            self.eras.told(era)
+            self.eras.observe_from_peer(era)
         } else {
             EraChange::None
         };
         self.begin_era(now, news);
-        if era == self.eras.known() && answers_count > self.answers_count {
+        if era == self.eras.highest() && answers_count > self.answers_count {
             self.answers_count = answers_count;
             self.told = now;
             // Without a proof the node goes on to read for itself, whatever it is told.
@@ -396,7 +401,7 @@
     }
 
     fn begin_era(&mut self, now: Duration, news: EraChange) {
-        if let EraChange::Returned { .. } = news {
+        if let EraChange::Restored { .. } = news {
             self.answers_count = 0;
             self.has_returned = true;
             if self.proof_bound.is_some() {
@@ -407,7 +412,7 @@
 
     /// The highest era of the store that is known; told to other nodes.
     pub fn era(&self) -> Option<StoreEra> {
-        self.eras.known()
+        self.eras.highest()
     }
 
     /// Answers of the store in that era that are known of; told to other nodes.
@@ -416,20 +421,20 @@
     }
 
     /// A read brought nothing: it was refused, or had no answer in time.
-    pub fn failed(&mut self, now: Duration) {
-        if !self.is_ailing {
-            self.is_ailing = true;
+    pub fn on_failure(&mut self, now: Duration) {
+        if !self.is_store_unavailable {
+            self.is_store_unavailable = true;
             self.next_at = now + RETRY_LEAST.mul_f64(self.random.random());
         }
     }
 
     /// Whether the store is taken to be away.
-    pub fn is_ailing(&self) -> bool {
-        self.is_ailing
+    pub fn is_store_unavailable(&self) -> bool {
+        self.is_store_unavailable
     }
 
     /// Time since the store answered this node last.
-    pub fn unheard(&self, now: Duration) -> Duration {
+    pub fn time_since_answer(&self, now: Duration) -> Duration {
         now.saturating_sub(self.answered)
     }
 
--- a/crates/kumquatquay-core/src/routed/store_readers.rs
+++ b/crates/kumquatquay-core/src/routed/store_readers.rs
@@ -31,7 +31,7 @@
     /// Finds the readers by rank: in each data centre those whose addresses have the highest
     /// hash. It needs no election, since two nodes that see other members both read, or the
     /// others notice that nobody tells them anything.
-    pub fn among<'a>(
+    pub fn select<'a>(
         own: SocketAddr,
         own_data_centre: &str,
         members: impl Iterator<Item = &'a MemberRecord>,
@@ -54,7 +54,7 @@
     }
 
     /// The readers of a data centre.
-    pub fn near<'a>(
+    pub fn in_data_centre<'a>(
         data_centre: &str,
         members: impl Iterator<Item = &'a MemberRecord>,
     ) -> Vec<&'a MemberRecord> {
--- a/crates/kumquatquay-core/tests/routed/log_read.rs
+++ b/crates/kumquatquay-core/tests/routed/log_read.rs
@@ -68,7 +68,12 @@
                 let page = LogPage::Newest { next_after, end };
                 (page, newest.copied().into_iter().collect())
             }
-            LogStep::Records { from, .. } if *from > end => (LogPage::Gone { first: None }, vec![]),
+            LogStep::Records { from, .. } if *from > end => (
+                LogPage::OffsetUnavailable {
+                    oldest_offset: None,
+                },
+                vec![],
+            ),
             LogStep::Records { from, .. } => {
                 let records = self.records[*from as usize..].iter().take(PAGE_COUNT);
                 let records: Vec<RecordId> = records.copied().collect();
@@ -129,7 +134,7 @@
             return None;
         };
         let is_first = step == LogStep::Newest { after: None };
-        let goes_on = matches!(step, LogStep::Records { may_wait: true, .. });
+        let goes_on = matches!(step, LogStep::Records { may_hold: true, .. });
         match broken {
             Broken::IgnoresEras => answer.era = None,
             Broken::MixesPages if !is_first && !goes_on => answer.era = None,
@@ -138,7 +143,7 @@
         }
         self.seen.extend(records);
         under_way.read.on_answer(position, answer);
-        let LogStep::Done { is_all, .. } = under_way.read.step() else {
+        let LogStep::Done { is_complete, .. } = under_way.read.step() else {
             if under_way.read.step() == LogStep::Outdated {
                 self.reads[place] = None;
             }
@@ -147,7 +152,7 @@
         let at_begin = self.reads[place].take().and_then(|read| read.at_begin);
         let missed = at_begin.unwrap_or_default();
         let missed = missed.into_iter().filter(|id| !self.seen.contains(id));
-        Some(missed.filter(|_| is_all).collect())
+        Some(missed.filter(|_| is_complete).collect())
     }
 }
 
@@ -251,7 +256,13 @@
             page: records(120, 120),
         },
     );
-    assert!(matches!(read.step(), LogStep::Done { is_all: true, .. }));
+    assert!(matches!(
+        read.step(),
+        LogStep::Done {
+            is_complete: true,
+            ..
+        }
+    ));
     position
 }
 
@@ -262,15 +273,15 @@
 const ANEW: LogStep = LogStep::Newest { after: None };
 
 goes_on! {
-    a_record_more: (Some(4), records(1, 121)) => LogStep::Done { era: Some(4), is_all: true };
-    part_of_what_there_is: (Some(4), records(1, 130)) => LogStep::Done { era: Some(4), is_all: false };
+    a_record_more: (Some(4), records(1, 121)) => LogStep::Done { era: Some(4), is_complete: true };
+    part_of_what_there_is: (Some(4), records(1, 130)) => LogStep::Done { era: Some(4), is_complete: false };
     an_offset_that_was_given_out_again: (Some(5), records(1, 121)) => ANEW;
     an_end_before_what_was_read: (None, records(0, 100)) => ANEW;
-    an_offset_that_the_store_lacks: (Some(5), LogPage::Gone { first: Some(0) }) => ANEW;
-    the_same_without_eras: (None, LogPage::Gone { first: None }) => ANEW;
+    an_offset_that_the_store_lacks: (Some(5), LogPage::OffsetUnavailable { oldest_offset: Some(0) }) => ANEW;
+    the_same_without_eras: (None, LogPage::OffsetUnavailable { oldest_offset: None }) => ANEW;
     a_late_answer: (Some(3), records(1, 121)) => LogStep::Outdated;
     an_era_that_cannot_be_read: (None, records(1, 121)) =>
-        LogStep::Done { era: Some(4), is_all: true };
+        LogStep::Done { era: Some(4), is_complete: true };
 }
 
 /// A store that tells a higher era with each answer would be read anew for ever.
@@ -279,8 +290,8 @@
     let mut position = LogPosition::default();
     let mut read = position.begin();
     for era in 0..100 {
-        if let LogStep::Done { is_all, .. } = read.step() {
-            assert!(!is_all);
+        if let LogStep::Done { is_complete, .. } = read.step() {
+            assert!(!is_complete);
             return;
         }
         let next_after = Some(String::from("a"));
--- a/crates/kumquatquay-core/tests/routed/newest_proof.rs
+++ b/crates/kumquatquay-core/tests/routed/newest_proof.rs
@@ -30,7 +30,7 @@
 #[test]
 fn without_a_read_nothing_is_proved() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
+    proof.on_applied(7);
     assert_eq!(age_ms(&proof, 100), None);
 }
 
@@ -39,16 +39,16 @@
 #[test]
 fn a_read_proves_what_was_true_when_it_was_sent() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.read(at(100), None);
+    proof.on_applied(7);
+    proof.on_store_read(at(100), None);
     assert_eq!(age_ms(&proof, 1_200), Some(1_100));
 }
 
 #[test]
 fn a_peers_age_counts_from_the_question() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.told(at(900), told(at(500), 7, Some(at_ms(300))));
+    proof.on_applied(7);
+    proof.on_peer_proof(at(900), told(at(500), 7, Some(at_ms(300))));
     assert_eq!(age_ms(&proof, 1_000), Some(800));
 }
 
@@ -57,8 +57,8 @@
 #[test]
 fn an_answer_that_lay_about_is_as_old_as_its_question() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.told(at(60_500), told(at(500), 7, Some(at_ms(0))));
+    proof.on_applied(7);
+    proof.on_peer_proof(at(60_500), told(at(500), 7, Some(at_ms(0))));
     assert_eq!(age_ms(&proof, 60_500), Some(60_000));
 }
 
@@ -67,10 +67,10 @@
 #[test]
 fn a_reader_that_is_cut_off_makes_nobody_younger() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
+    proof.on_applied(7);
     for asked_ms in (1_000..9_000).step_by(500) {
         let reader_age = at_ms(asked_ms);
-        proof.told(at(asked_ms + 5), told(at(asked_ms), 7, Some(reader_age)));
+        proof.on_peer_proof(at(asked_ms + 5), told(at(asked_ms), 7, Some(reader_age)));
     }
     assert_eq!(age_ms(&proof, 9_000), Some(9_000));
 }
@@ -80,13 +80,13 @@
 fn two_nodes_do_not_keep_each_other_young() {
     let mut nodes = [FreshnessProof::default(), FreshnessProof::default()];
     for node in &mut nodes {
-        node.applied(7);
+        node.on_applied(7);
     }
-    nodes[0].read(at(0), None);
+    nodes[0].on_store_read(at(0), None);
     for ms in (10..8_000).step_by(10) {
         let [asker, asked] = if ms % 20 == 0 { [0, 1] } else { [1, 0] };
         let age = nodes[asked].age(at(ms + 1));
-        nodes[asker].told(at(ms + 2), told(at(ms), 7, age));
+        nodes[asker].on_peer_proof(at(ms + 2), told(at(ms), 7, age));
     }
     assert!(nodes.iter().all(|node| age_ms(node, 8_000) >= Some(8_000)));
 }
@@ -95,21 +95,21 @@
 #[test]
 fn a_proof_of_a_newer_configuration_counts_once_that_is_in_force() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.read(at(100), None);
-    proof.told(at(900), told(at(800), 8, Some(at_ms(50))));
+    proof.on_applied(7);
+    proof.on_store_read(at(100), None);
+    proof.on_peer_proof(at(900), told(at(800), 8, Some(at_ms(50))));
     assert_eq!(age_ms(&proof, 1_000), Some(900));
-    proof.applied(8);
+    proof.on_applied(8);
     assert_eq!(age_ms(&proof, 1_000), Some(250));
 }
 
 #[test]
 fn proofs_that_come_out_of_order_change_nothing() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.read(at(700), None);
-    proof.read(at(100), None);
-    proof.told(at(900), told(at(800), 7, Some(at_ms(600))));
+    proof.on_applied(7);
+    proof.on_store_read(at(700), None);
+    proof.on_store_read(at(100), None);
+    proof.on_peer_proof(at(900), told(at(800), 7, Some(at_ms(600))));
     assert_eq!(age_ms(&proof, 1_000), Some(300));
 }
 
@@ -117,18 +117,18 @@
 #[test]
 fn senseless_ages_are_passed_over() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.told(at(100), told(at(86_400_000), 7, Some(at_ms(0))));
-    proof.told(at(100), told(at(50), 7, Some(Duration::MAX)));
-    proof.told(at(100), told(at(50), 7, None));
+    proof.on_applied(7);
+    proof.on_peer_proof(at(100), told(at(86_400_000), 7, Some(at_ms(0))));
+    proof.on_peer_proof(at(100), told(at(50), 7, Some(Duration::MAX)));
+    proof.on_peer_proof(at(100), told(at(50), 7, None));
     assert_eq!(age_ms(&proof, 1_000), None);
 }
 
 #[test]
 fn a_moment_is_covered_from_the_proof_on() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.read(at(700), None);
+    proof.on_applied(7);
+    proof.on_store_read(at(700), None);
     assert!(proof.covers(at(700)) && !proof.covers(at(701)));
 }
 
@@ -138,9 +138,9 @@
 /// A node that has version 8 in force; the store came back without it at 1 s.
 fn returned() -> FreshnessProof {
     let mut proof = FreshnessProof::default();
-    proof.applied(8);
-    proof.read(at(800), OLD);
-    proof.returned(at(1_000), 5);
+    proof.on_applied(8);
+    proof.on_store_read(at(800), OLD);
+    proof.on_store_restored(at(1_000), 5);
     proof
 }
 
@@ -149,11 +149,11 @@
 #[test]
 fn a_read_right_after_a_return_proves_nothing() {
     let mut proof = FreshnessProof::default();
-    proof.applied(7);
-    proof.read(at(800), OLD);
-    proof.returned(at(1_000), 5);
-    proof.stored(NEW, 7);
-    proof.read(at(1_100), NEW);
+    proof.on_applied(7);
+    proof.on_store_read(at(800), OLD);
+    proof.on_store_restored(at(1_000), 5);
+    proof.on_store_version(NEW, 7);
+    proof.on_store_read(at(1_100), NEW);
     assert_eq!(age_ms(&proof, 1_200), Some(400));
 }
 
@@ -161,12 +161,12 @@
 #[test]
 fn a_read_of_a_store_that_lacks_the_version_in_force_proves_nothing() {
     let mut proof = returned();
-    proof.stored(NEW, 7);
-    proof.read(at(9_000), NEW);
+    proof.on_store_version(NEW, 7);
+    proof.on_store_read(at(9_000), NEW);
     assert!(proof.is_store_behind());
     assert_eq!(age_ms(&proof, 9_100), Some(8_300));
-    proof.stored(NEW, 8);
-    proof.read(at(9_200), NEW);
+    proof.on_store_version(NEW, 8);
+    proof.on_store_read(at(9_200), NEW);
     assert!(!proof.is_store_behind());
     assert_eq!(age_ms(&proof, 9_300), Some(100));
 }
@@ -175,10 +175,10 @@
 #[test]
 fn a_late_answer_of_the_era_before_proves_no_more_than_it_did() {
     let mut proof = returned();
-    proof.stored(OLD, 8);
-    proof.read(at(900), OLD);
+    proof.on_store_version(OLD, 8);
+    proof.on_store_read(at(900), OLD);
     assert_eq!(age_ms(&proof, 1_100), Some(200));
-    proof.stored(NEW, 7);
+    proof.on_store_version(NEW, 7);
     assert!(proof.is_store_behind());
 }
 
@@ -192,7 +192,7 @@
                 era: $era,
                 ..told(at($moment_ms), $version, Some(at_ms(0)))
             };
-            proof.told(at(4_900), answer);
+            proof.on_peer_proof(at(4_900), answer);
             assert_eq!(age_ms(&proof, 5_000), Some($age_ms));
         }
     )*};
@@ -212,19 +212,19 @@
 fn a_store_is_behind_only_if_it_was_seen_to_be() {
     let mut proof = returned();
     assert!(!proof.is_store_behind());
-    proof.stored(NEW, 0);
+    proof.on_store_version(NEW, 0);
     assert!(proof.is_store_behind());
-    proof.stored(NEW, 8);
-    proof.applied(9);
+    proof.on_store_version(NEW, 8);
+    proof.on_applied(9);
     assert!(!proof.is_store_behind());
 }
 
 #[test]
 fn an_older_return_changes_nothing() {
     let mut proof = returned();
-    proof.stored(NEW, 8);
-    proof.returned(at(3_000), 5);
-    proof.returned(at(3_000), 4);
-    proof.read(at(3_100), NEW);
+    proof.on_store_version(NEW, 8);
+    proof.on_store_restored(at(3_000), 5);
+    proof.on_store_restored(at(3_000), 4);
+    proof.on_store_read(at(3_100), NEW);
     assert_eq!(age_ms(&proof, 3_200), Some(100));
 }
--- a/crates/kumquatquay-core/tests/routed/proof_fleet.rs
+++ b/crates/kumquatquay-core/tests/routed/proof_fleet.rs
@@ -102,7 +102,7 @@
     let mut outcome = Outcome::default();
     let mut nodes: Vec<Node> = (0..scene.nodes_count)
         .map(|_| Node {
-            follower: StorePoller::new(Duration::ZERO, random.random()).proof_within(BOUND),
+            follower: StorePoller::new(Duration::ZERO, random.random()).with_proof_bound(BOUND),
             proof: FreshnessProof::default(),
             reads: Vec::new(),
             waits_until: Duration::ZERO,
@@ -147,12 +147,12 @@
     for (began_ms, hold_ms) in std::mem::take(&mut node.reads) {
         let is_lost = scene.is_deaf(place, began_ms) || scene.is_deaf(place, now_ms);
         if !is_lost && now_ms >= began_ms + hold_ms + ANSWER_MS {
-            node.follower.answered(now, false);
-            node.proof.read(moment(began_ms), None);
+            node.follower.on_answer(now, false);
+            node.proof.on_store_read(moment(began_ms), None);
             told(node, now_ms);
             node.waits_until = now;
         } else if now_ms >= began_ms + hold_ms + CALL_TIMEOUT_MS {
-            node.follower.failed(now);
+            node.follower.on_failure(now);
             node.waits_until = now;
         } else {
             kept.push((began_ms, hold_ms));
@@ -163,7 +163,7 @@
 
 fn told(node: &mut Node, now_ms: u64) {
     if let Some(age) = node.proof.age(moment(now_ms)) {
-        node.follower.proven(at_ms(now_ms).saturating_sub(age));
+        node.follower.on_proof(at_ms(now_ms).saturating_sub(age));
         node.waits_until = node.waits_until.min(at_ms(now_ms));
     }
 }
@@ -194,14 +194,14 @@
     let count = nodes[peer].follower.answers_count();
     let asked = moment(now_ms.saturating_sub(ANSWER_MS));
     let node = &mut nodes[place];
-    node.follower.told(at_ms(now_ms), None, count);
+    node.follower.on_peer_state(at_ms(now_ms), None, count);
     let answer = PeerProof {
         asked,
         version: 0,
         age,
         era: None,
     };
-    node.proof.told(moment(now_ms), answer);
+    node.proof.on_peer_proof(moment(now_ms), answer);
     told(node, now_ms);
 }
 
@@ -305,18 +305,18 @@
     let fleet = CALM.fleet(0);
     for ms in 0..10_000 {
         for _ in 0..10 {
-            follower.want(at_ms(ms), CALM.nodes_count);
+            follower.request_read(at_ms(ms), CALM.nodes_count);
         }
         let now = at_ms(ms);
         if held_until.is_some_and(|until| now >= until) {
             held_until = None;
-            follower.answered(now, false);
+            follower.on_answer(now, false);
         }
         match follower.step(now, fleet) {
             PollStep::Read { hold } if hold.is_zero() => {
                 out_of_turn_count += 1;
                 held_until = None;
-                follower.answered(now, false);
+                follower.on_answer(now, false);
             }
             PollStep::Read { hold } => held_until = Some(now + hold),
             PollStep::AskReader | PollStep::Wait { .. } => {}
--- a/crates/kumquatquay-core/tests/routed/store_follower.rs
+++ b/crates/kumquatquay-core/tests/routed/store_follower.rs
@@ -211,7 +211,7 @@
         let told_count = answers_at(&answers, now.saturating_sub(SPREAD_TIME));
         for host in &mut hosts {
             if scene.hears_peers {
-                host.follower.told(now, None, told_count);
+                host.follower.on_peer_state(now, None, told_count);
             }
             act(scene, &confirmations, now, host, &mut outcome);
             let known_count = host.follower.answers_count();
@@ -268,14 +268,14 @@
         match read.end(scene, confirmations, now) {
             None => host.reads.push(read),
             Some(ReadEnd::Failed) => {
-                host.follower.failed(now);
+                host.follower.on_failure(now);
                 host.waits_until = now;
             }
             Some(ReadEnd::Answered { through }) => {
                 let has_news = through > host.position;
                 host.position = host.position.max(through);
                 host.in_force = host.in_force.max(through);
-                host.follower.answered(now, has_news);
+                host.follower.on_answer(now, has_news);
                 host.waits_until = now;
                 // Those beside it aren't waited for any more.
                 host.reads.clear();
--- a/crates/kumquatquay-core/tests/routed/store_readers.rs
+++ b/crates/kumquatquay-core/tests/routed/store_readers.rs
@@ -32,7 +32,7 @@
 
 fn readers_of(members: &[MemberRecord]) -> Vec<&MemberRecord> {
     let reads = |member: &&MemberRecord| {
-        StoreReaders::among(member.control, &member.data_centre, members.iter()).is_reader
+        StoreReaders::select(member.control, &member.data_centre, members.iter()).is_reader
     };
     members.iter().filter(reads).collect()
 }
@@ -49,7 +49,7 @@
             assert_eq!(near.count(), 2);
         }
         let first = &members[0];
-        let known = StoreReaders::among(first.control, &first.data_centre, members.iter());
+        let known = StoreReaders::select(first.control, &first.data_centre, members.iter());
         assert_eq!(known.count, 10);
     }
 }
@@ -57,7 +57,7 @@
 #[test]
 fn those_that_are_asked_are_those_that_read() {
     let members = fleet(19);
-    let near = StoreReaders::near("hall-3", members.iter());
+    let near = StoreReaders::in_data_centre("hall-3", members.iter());
     let readers = readers_of(&members).into_iter();
     let readers: Vec<SocketAddr> = readers
         .filter(|reader| reader.data_centre == "hall-3")
@@ -95,7 +95,7 @@
 #[test]
 fn a_node_that_knows_nobody_reads() {
     let own = member(1, 1, MemberState::Idle);
-    let known = StoreReaders::among(own.control, &own.data_centre, [].into_iter());
+    let known = StoreReaders::select(own.control, &own.data_centre, [].into_iter());
     assert!(known.is_reader);
     assert_eq!(known.count, 1);
 }
--- a/crates/kumquatquay-core/tests/routed/store_returns.rs
+++ b/crates/kumquatquay-core/tests/routed/store_returns.rs
@@ -157,9 +157,12 @@
                 };
                 (page, newest.into_iter().collect())
             }
-            LogStep::Records { from, .. } if *from > end => {
-                (LogPage::Gone { first: Some(0) }, Vec::new())
-            }
+            LogStep::Records { from, .. } if *from > end => (
+                LogPage::OffsetUnavailable {
+                    oldest_offset: Some(0),
+                },
+                Vec::new(),
+            ),
             LogStep::Records { from, .. } => {
                 let records = &self.log[*from as usize..];
                 let offsets_count = records.len() as u64;
@@ -228,7 +231,7 @@
             };
             Node {
                 follower: StorePoller::new(Duration::ZERO, random.random())
-                    .proof_within(at_ms(BOUND_MS)),
+                    .with_proof_bound(at_ms(BOUND_MS)),
                 proof: FreshnessProof::default(),
                 position: LogPosition::default(),
                 reads: Vec::new(),
@@ -328,7 +331,11 @@
         while let Some(mut read) = reads.pop() {
             if self.go_on(place, now_ms, &mut read) {
                 kept.push(read);
-            } else if self.nodes[place].follower.unheard(at_ms(now_ms)).is_zero() {
+            } else if self.nodes[place]
+                .follower
+                .time_since_answer(at_ms(now_ms))
+                .is_zero()
+            {
                 // It was answered, so the others are dropped.
                 return;
             }
@@ -349,7 +356,7 @@
             return self.on_answer(place, now_ms, read, answered);
         }
         if is_over {
-            self.nodes[place].follower.failed(at_ms(now_ms));
+            self.nodes[place].follower.on_failure(at_ms(now_ms));
             self.nodes[place].waits_until = at_ms(now_ms);
         }
         !is_over
@@ -357,10 +364,10 @@
 
     fn let_store_answer(&mut self, now_ms: u64, read: &mut Read) {
         let step = read.read.step();
-        let may_wait = matches!(step, LogStep::Records { may_wait: true, .. });
+        let may_wait = matches!(step, LogStep::Records { may_hold: true, .. });
         let answered = self.store.answer(&step, now_ms);
-        let has_none =
-            answered.versions.is_empty() && !matches!(answered.answer.page, LogPage::Gone { .. });
+        let has_none = answered.versions.is_empty()
+            && !matches!(answered.answer.page, LogPage::OffsetUnavailable { .. });
         let is_held = may_wait && has_none && now_ms < read.held_until_ms;
         if read.is_lost || now_ms < read.called_ms + CALL_MS / 2 || is_held {
             return;
@@ -388,7 +395,7 @@
             era,
             ..answered.answer
         };
-        let news = self.nodes[place].follower.era_seen(at_ms(now_ms), era);
+        let news = self.nodes[place].follower.on_store_era(at_ms(now_ms), era);
         self.on_era(place, now_ms, news, era);
         let before = read.read.step();
         read.read.on_answer(&mut self.nodes[place].position, answer);
@@ -409,12 +416,12 @@
                 self.call(place, now_ms, read);
                 return true;
             }
-            LogStep::Outdated => node.follower.failed(at_ms(now_ms)),
-            LogStep::Done { era, is_all } => {
-                node.follower.answered(at_ms(now_ms), read.newest > 0);
-                node.proof.stored(era, read.newest);
-                if is_all {
-                    node.proof.read(moment(read.began_ms), era);
+            LogStep::Outdated => node.follower.on_failure(at_ms(now_ms)),
+            LogStep::Done { era, is_complete } => {
+                node.follower.on_answer(at_ms(now_ms), read.newest > 0);
+                node.proof.on_store_version(era, read.newest);
+                if is_complete {
+                    node.proof.on_store_read(moment(read.began_ms), era);
                 }
             }
         }
@@ -427,14 +434,14 @@
         let node = &mut self.nodes[place];
         if version > node.in_force {
             node.in_force = version;
-            node.proof.applied(version);
+            node.proof.on_applied(version);
         }
     }
 
     fn on_era(&mut self, place: usize, now_ms: u64, news: EraChange, era: Option<StoreEra>) {
         let node = &mut self.nodes[place];
-        if let (EraChange::Returned { .. }, Some(era)) = (news, era) {
-            node.proof.returned(moment(now_ms), era);
+        if let (EraChange::Restored { .. }, Some(era)) = (news, era) {
+            node.proof.on_store_restored(moment(now_ms), era);
             node.waits_until = at_ms(now_ms);
         }
     }
@@ -442,7 +449,7 @@
     fn learn(&mut self, place: usize, now_ms: u64) {
         let node = &mut self.nodes[place];
         if let Some(age) = node.proof.age(moment(now_ms)) {
-            node.follower.proven(at_ms(now_ms).saturating_sub(age));
+            node.follower.on_proof(at_ms(now_ms).saturating_sub(age));
         }
     }
 
@@ -461,9 +468,11 @@
             era,
         };
         let node = &mut self.nodes[place];
-        let news = node.follower.told(at_ms(now_ms), era, answers_count);
+        let news = node
+            .follower
+            .on_peer_state(at_ms(now_ms), era, answers_count);
         self.on_era(place, now_ms, news, era);
-        self.nodes[place].proof.told(moment(now_ms), told);
+        self.nodes[place].proof.on_peer_proof(moment(now_ms), told);
         self.apply(place, told.version);
         self.learn(place, now_ms);
     }
--- a/crates/kumquatquayd/src/routed/configuration_exchange.rs
+++ b/crates/kumquatquayd/src/routed/configuration_exchange.rs
@@ -19,7 +19,7 @@
     }
     let mut follower = node.store_poller.borrow_mut();
     let era = followed.store_era;
-    let news = follower.told(node.now(), era, followed.store_answers_count);
+    let news = follower.on_peer_state(node.now(), era, followed.store_answers_count);
     drop(follower);
     node.on_era_change(news, era, "node");
     if followed.version > node.route_version() && node.begin_configuration_ask() {
@@ -48,7 +48,7 @@
         age: Some(age),
         era: followed.store_era,
     };
-    node.update_proof(|proof| proof.told(now, told));
+    node.update_proof(|proof| proof.on_peer_proof(now, told));
 }
 
 /// A question how far another node follows.
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -110,13 +110,13 @@
         .set(there_count.max(node.nodes_count.get()));
     let settings = &node.settings;
     let own = settings.listen.control;
-    let readers = StoreReaders::among(own, &settings.data_centre, members.iter());
+    let readers = StoreReaders::select(own, &settings.data_centre, members.iter());
     if node.readers.replace(readers) != readers {
         log::info!(event = "store_readers", reads = readers.is_reader,
             readers = readers.count as u64;
             "this node reads the store for others, or is told by them");
     }
-    let near = StoreReaders::near(&settings.data_centre, members.iter());
+    let near = StoreReaders::in_data_centre(&settings.data_centre, members.iter());
     let near = near.into_iter().map(|reader| reader.peer);
     node.near_readers.replace(near.collect());
     let mut targets = node.load_balancer.borrow_mut();
--- a/crates/kumquatquayd/src/routed/metrics_text.rs
+++ b/crates/kumquatquayd/src/routed/metrics_text.rs
@@ -23,7 +23,7 @@
     let report = node.gate_report();
     let server_limit = node.gate.borrow().rate_limit().per_s();
     let waiting_work = node.gate.borrow().state().waiting_work;
-    let unheard = node.store_poller.borrow().unheard(node.now());
+    let unheard = node.store_poller.borrow().time_since_answer(node.now());
     let store_era = node.store_poller.borrow().era().unwrap_or_default();
     let is_store_behind = node.proof.borrow().is_store_behind();
     let proof_age = node.proof_age().unwrap_or_default();
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -191,7 +191,7 @@
         let census = RouteCallers::at(settings.service.clone());
         let follower = StorePoller::new(Duration::ZERO, random.random());
         let follower = match settings.bounds.revoke {
-            Some(bound) => follower.proof_within(bound),
+            Some(bound) => follower.with_proof_bound(bound),
             None => follower,
         };
         let held_answers = HeldAnswers::new(settings.limits.memory_bytes);
@@ -327,7 +327,7 @@
         drop(quotas);
         self.routes.replace(Some(Arc::new(table)));
         self.configuration.replace(Some(configuration));
-        self.update_proof(|proof| proof.applied(version));
+        self.update_proof(|proof| proof.on_applied(version));
         self.metrics.count("configuration", from);
         log::info!(event = "configuration_in_force", version = version, from = from;
             "a newer configuration is in force");
--- a/crates/kumquatquayd/src/routed/proofs.rs
+++ b/crates/kumquatquayd/src/routed/proofs.rs
@@ -77,7 +77,9 @@
     /// Asks for a proof that begins now.
     pub(crate) fn request_proof(&self) {
         let nodes_count = self.poller_fleet().nodes_count;
-        self.store_poller.borrow_mut().want(self.now(), nodes_count);
+        self.store_poller
+            .borrow_mut()
+            .request_read(self.now(), nodes_count);
         self.store_poller_wake.notify_one();
     }
 
@@ -93,7 +95,7 @@
         learn(&mut proof);
         if let Some(age) = proof.age(self.boot_time()) {
             let proven = self.now().saturating_sub(age);
-            self.store_poller.borrow_mut().proven(proven);
+            self.store_poller.borrow_mut().on_proof(proven);
             self.proof_updated.notify_waiters();
         }
     }
--- a/crates/kumquatquayd/src/routed/routes_watch.rs
+++ b/crates/kumquatquayd/src/routed/routes_watch.rs
@@ -64,14 +64,14 @@
 fn next_step(node: &RoutedNode) -> PollStep {
     let now = node.now();
     let mut follower = node.store_poller.borrow_mut();
-    let was_ailing = follower.is_ailing();
-    let unheard = follower.unheard(now);
+    let was_ailing = follower.is_store_unavailable();
+    let unheard = follower.time_since_answer(now);
     let step = follower.step(now, node.poller_fleet());
-    if was_ailing && !follower.is_ailing() {
+    if was_ailing && !follower.is_store_unavailable() {
         log::info!(event = "store_regained", unheard_ms = unheard.as_millis() as u64,
             in_force = node.route_version(); "other nodes tell of its answers again");
     }
-    if follower.is_ailing() && !was_ailing {
+    if follower.is_store_unavailable() && !was_ailing {
         log_lost(
             node,
             unheard,
@@ -130,19 +130,19 @@
 fn on_read_ended(node: &Rc<RoutedNode>, ended: EndedRead) -> bool {
     let now = node.now();
     let mut follower = node.store_poller.borrow_mut();
-    let was_ailing = follower.is_ailing();
-    let unheard = follower.unheard(now);
+    let was_ailing = follower.is_store_unavailable();
+    let unheard = follower.time_since_answer(now);
     let took_ms = now.saturating_sub(ended.began).as_millis() as u64;
     match ended.news {
         Ok(news) if news.is_outdated => {
-            follower.failed(now);
+            follower.on_failure(now);
             drop(follower);
             node.on_outdated_answer();
             take_news(node, news);
             false
         }
         Ok(news) => {
-            follower.answered(now, news.has_configurations());
+            follower.on_answer(now, news.has_configurations());
             drop(follower);
             if was_ailing {
                 log::info!(event = "store_regained", unheard_ms = unheard.as_millis() as u64,
@@ -154,16 +154,16 @@
             let stored_version = news.stored_version;
             take_news(node, news);
             node.update_proof(|proof| {
-                proof.stored(era, stored_version);
+                proof.on_store_version(era, stored_version);
                 if proves {
-                    proof.read(ended.asked, era);
+                    proof.on_store_read(ended.asked, era);
                 }
             });
             node.log_store_behind();
             true
         }
         Err(error) => {
-            follower.failed(now);
+            follower.on_failure(now);
             drop(follower);
             if !was_ailing {
                 log_lost(node, unheard, &error.to_string());
--- a/crates/kumquatquayd/src/routed/store_restore.rs
+++ b/crates/kumquatquayd/src/routed/store_restore.rs
@@ -48,7 +48,10 @@
     pub(crate) fn on_store_eras(&self, told: ObservedEras) {
         let now = self.now();
         if told.highest.is_some() || told.has_answer_without_era {
-            let news = self.store_poller.borrow_mut().era_seen(now, told.highest);
+            let news = self
+                .store_poller
+                .borrow_mut()
+                .on_store_era(now, told.highest);
             self.on_era_change(news, told.highest, "store");
         }
         let malformed_count = told.malformed_count;
@@ -68,15 +71,15 @@
                 log::info!(event = "store_era", era = era, from = from;
                     "the store tells its era, which rises if it comes back from a copy");
             }
-            EraChange::Senseless => {
+            EraChange::Implausible => {
                 self.pass_over_era("senseless", "a node tells of an era that is too far ahead");
             }
-            EraChange::Returned { before } => {
+            EraChange::Restored { previous } => {
                 let era = era.unwrap_or_default();
                 let now = self.boot_time();
-                self.proof.borrow_mut().returned(now, era);
+                self.proof.borrow_mut().on_store_restored(now, era);
                 self.metrics.count("store_returned", from);
-                log::warn!(event = "store_returned_from_copy", era = era, before = before,
+                log::warn!(event = "store_returned_from_copy", era = era, before = previous,
                     from = from, in_force = self.route_version();
                     "the store has lost what was written lately; it is read anew, and this node \
                      enters itself again");
