--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -1,4 +1,4 @@
-//! Runs a call at the backend server of this host.
+//! Runs calls at the backend server of this host, after they have passed its gate.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,41 +20,43 @@
     server_notices::{on_known_limit, on_notices},
 };
 
-/// The least time in which a call is still handed over.
-const LEAST_TIME_LEFT: Duration = Duration::from_millis(2);
+/// Least time to the deadline with which a call is still forwarded to the backend server.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(2);
 
-/// Statuses that promise that a request has not run. A backend server says so in a
-/// field of its own; without it such a status is no promise that may be passed on.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses from which a caller concludes that its request has not run. A backend server states
+/// that in a header of its own, so an unsigned answer with such a status is not passed on.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Fields that a backend server is told beside those of the caller, mostly.
-const HAND_OVER_FIELDS_COUNT: usize = 3;
+/// Capacity to reserve for the headers that are added to those of the caller.
+const FORWARDED_FIELDS_COUNT: usize = 3;
 
-/// A call and the moment at which its time is over.
-struct Timed<'a> {
+/// A call with its target time and its deadline.
+struct TimedCall<'a> {
     call: &'a CallHead<'a>,
     payload: &'a Payload,
     due: Duration,
     deadline: Duration,
 }
 
-impl Timed<'_> {
-    /// The moment after which the call would not end in time: it is refused then,
-    /// while its sender can still say that it has not run.
+impl TimedCall<'_> {
+    /// The latest start with which the call may still end before its deadline. It is refused
+    /// after that, while its sender can still report that it has not run.
     fn latest_start(&self, node: &RoutedNode) -> Duration {
         let work = node.gate.borrow().run_times().estimate(self.call.route);
-        self.deadline.saturating_sub(work.mul_f64(LEAST_WORK_RATIO))
+        self.deadline
+            .saturating_sub(work.mul_f64(MIN_RUN_TIME_RATIO))
     }
 }
 
-/// Part of the mean time to run a call of its route that must be left when it begins.
-const LEAST_WORK_RATIO: f64 = 0.5;
+/// Part of the mean run time of its route that must be left before a call's deadline when the
+/// call starts.
+const MIN_RUN_TIME_RATIO: f64 = 0.5;
 
-/// Runs a call at the backend server of this host, once there is room for it.
+/// Runs a call at the backend server of this host, once the gate has a slot for it.
 ///
-/// When there is room, `confirmed` tells whether the call is still to be run. When
-/// `cancelled` is done, a call that waits is taken out, and one that runs is given up if
-/// it may run again; one that may not is let run to its end.
+/// The call runs only if `confirmed`, which is awaited once there is a slot, yields `true`. When
+/// `cancelled` completes, a waiting call is withdrawn and a running one is cancelled if it is
+/// idempotent; any other runs to its end.
 pub(crate) async fn run_locally(
     node: &Rc<RoutedNode>,
     call: &CallHead<'_>,
@@ -65,14 +67,16 @@
     let now = node.now();
     on_known_limit(node, call);
     let deadline = now + Duration::from_millis(call.remaining_ms);
-    let heard = f64::from(call.level_permille) / 1_000.0;
+    let sender_level = f64::from(call.level_permille) / 1_000.0;
     let work = node.gate.borrow().run_times().estimate(call.route);
-    node.level_controller.borrow_mut().on_arrival(heard, work);
+    node.level_controller
+        .borrow_mut()
+        .on_arrival(sender_level, work);
     node.route_callers
         .borrow_mut()
         .record_call(now, call.route, call.caller_service);
     let due = now + Duration::from_millis(call.target_latency_ms);
-    let timed = Timed {
+    let timed = TimedCall {
         call,
         payload,
         due,
@@ -89,19 +93,19 @@
     };
     if call.is_idempotent {
         tokio::select! {
-            answer = hand_over(node, &timed, slot) => answer,
+            answer = forward_to_backend(node, &timed, slot) => answer,
             () = cancelled => LinkAnswer::unknown(UnknownReason::NoAnswer),
         }
     } else {
-        hand_over(node, &timed, slot).await
+        forward_to_backend(node, &timed, slot).await
     }
 }
 
-/// How often the level of the gate is set.
+/// Interval at which the admission level of the gate is updated.
 const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sets the level of the gate from what it sees, and looks whether the backend
-/// server is silent.
+/// Updates the admission level from the state of the gate, and reports the backend server as
+/// dead when it gives no answers.
 pub(crate) async fn update_level_periodically(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(LEVEL_INTERVAL).await;
@@ -110,14 +114,14 @@
         let work = node.gate.borrow().mean_run_time();
         let is_silent = node.backend_liveness.borrow().is_silent(now, work);
         if is_silent && node.is_on(Mechanism::SilentBackend) {
-            // Runs under way go on: their answers may still come.
-            announce_backend_death(&node, "it gives no answers");
+            // Running calls are not cancelled: their answers may still come.
+            announce_backend_death(&node, "it does not answer calls");
         }
         node.level_controller.borrow_mut().tick(now, state);
     }
 }
 
-/// Lets calls run that wait for the rate limit of the backend server, as it allows.
+/// Starts waiting calls as the rate limit of the backend server permits.
 pub(crate) async fn admit_within_rate_limit(node: Rc<RoutedNode>) {
     loop {
         let wait = node.gate.borrow().rate_limit_wait(node.now());
@@ -129,24 +133,24 @@
     }
 }
 
-/// A place among the calls that run; leaving it lets the next one run.
-struct Slot {
+/// A slot of the gate; dropping it starts the next waiting call.
+struct RunSlot {
     node: Rc<RoutedNode>,
     route: String,
     began: Duration,
-    counts_work: bool,
-    has_reached_backend: bool,
+    records_run_time: bool,
+    is_forwarded: bool,
 }
 
-impl Drop for Slot {
+impl Drop for RunSlot {
     fn drop(&mut self) {
         let work = self.node.now().saturating_sub(self.began);
-        let run = self.counts_work.then_some(RouteRunTime {
+        let run = self.records_run_time.then_some(RouteRunTime {
             route: &self.route,
             run_time: work,
         });
         let mut gate = self.node.gate.borrow_mut();
-        if self.has_reached_backend {
+        if self.is_forwarded {
             gate.ended(run);
         } else {
             gate.not_forwarded(self.node.now());
@@ -156,51 +160,55 @@
     }
 }
 
-/// Lets calls run that wait, as far as there is room.
+/// Starts waiting calls as far as there are free slots.
 pub(crate) fn admit_waiting(node: &RoutedNode) {
     let now = node.now();
     loop {
         let next = node.gate.borrow_mut().next(now);
-        let Some(ticket) = next else {
+        let Some(permit) = next else {
             if node.gate.borrow().rate_limit_wait(now).is_some() {
                 node.limit_wait_started.notify_one();
             }
             return;
         };
-        if ticket.send(()).is_err() {
-            // Its caller left while it waited.
+        if permit.send(()).is_err() {
+            // The call was cancelled while it waited.
             node.gate.borrow_mut().not_forwarded(now);
         }
     }
 }
 
-/// Sends calls that wait for a backend server that is leaving to other ones.
+/// Withdraws all waiting calls, since the backend server is leaving. Their senders try other
+/// backend servers.
 pub(crate) fn withdraw_waiting(node: &RoutedNode) {
     let waiting = node.gate.borrow_mut().withdraw_all();
-    // Dropping a ticket tells its call that it isn't run here.
+    // A call learns from its dropped permit that it isn't run here.
     drop(waiting);
 }
 
 async fn wait_for_confirmed_slot(
     node: &Rc<RoutedNode>,
-    timed: &Timed<'_>,
+    timed: &TimedCall<'_>,
     confirmed: impl Future<Output = bool>,
-) -> Result<Slot, NotRunReason> {
+) -> Result<RunSlot, NotRunReason> {
     let slot = wait_for_slot(node, timed).await?;
     if !confirmed.await {
         return Err(NotRunReason::Late);
     }
-    check_open(node, timed)?;
+    check_runnable(node, timed)?;
     Ok(slot)
 }
 
-async fn wait_for_slot(node: &Rc<RoutedNode>, timed: &Timed<'_>) -> Result<Slot, NotRunReason> {
-    check_open(node, timed)?;
-    let (ticket, granted) = oneshot::channel();
-    let admission = offer(node, timed, ticket);
+async fn wait_for_slot(
+    node: &Rc<RoutedNode>,
+    timed: &TimedCall<'_>,
+) -> Result<RunSlot, NotRunReason> {
+    check_runnable(node, timed)?;
+    let (permit, granted) = oneshot::channel();
+    let admission = offer_to_gate(node, timed, permit);
     let key = match admission {
-        Admission::Run => return Ok(Slot::new(node, timed)),
-        Admission::Refuse(_) => return Err(refusal(node)),
+        Admission::Run => return Ok(RunSlot::new(node, timed)),
+        Admission::Refuse(_) => return Err(refusal_reason(node)),
         Admission::Wait(key) => key,
         Admission::Evict(key, evicted) => {
             drop(evicted);
@@ -215,17 +223,17 @@
     let wait = timed.latest_start(node).saturating_sub(node.now());
     match tokio::time::timeout(wait, &mut waiting.granted).await {
         Ok(Ok(())) => {
-            let slot = Slot::new(node, timed);
-            check_open(node, timed)?;
+            let slot = RunSlot::new(node, timed);
+            check_runnable(node, timed)?;
             Ok(slot)
         }
-        Ok(Err(_)) => Err(refusal(node)),
+        Ok(Err(_)) => Err(refusal_reason(node)),
         Err(_) => Err(NotRunReason::Late),
     }
 }
 
-/// Why the gate has no room for a call.
-fn refusal(node: &RoutedNode) -> NotRunReason {
+/// Why the gate refuses a call.
+fn refusal_reason(node: &RoutedNode) -> NotRunReason {
     let reason = node.gate.borrow().refusal(node.now());
     if reason == NotRunReason::Limited {
         node.metrics.count("server_limit", "refused");
@@ -233,7 +241,7 @@
     reason
 }
 
-/// A call in the queue; it leaves the queue with its task.
+/// A call in the queue of the gate; dropping it withdraws the call.
 struct WaitingCall<'a> {
     node: &'a Rc<RoutedNode>,
     key: GateQueueKey,
@@ -243,7 +251,7 @@
 impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
         let withdrawn = self.node.gate.borrow_mut().withdraw(self.key);
-        // A grant that nobody took would hold its place for good.
+        // A granted permit that is never used would occupy its slot forever.
         if withdrawn.is_none() && self.granted.try_recv().is_ok() {
             let now = self.node.now();
             self.node.gate.borrow_mut().not_forwarded(now);
@@ -252,7 +260,11 @@
     }
 }
 
-fn offer(node: &RoutedNode, timed: &Timed<'_>, ticket: RunPermit) -> Admission<RunPermit> {
+fn offer_to_gate(
+    node: &RoutedNode,
+    timed: &TimedCall<'_>,
+    permit: RunPermit,
+) -> Admission<RunPermit> {
     let call = GateCall {
         priority: timed.call.priority,
         request_priority: timed.call.whole_priority,
@@ -260,23 +272,25 @@
         deadline: timed.deadline,
         run_time: node.gate.borrow().run_times().estimate(timed.call.route),
     };
-    node.gate.borrow_mut().offer(node.now(), call, ticket)
+    node.gate.borrow_mut().offer(node.now(), call, permit)
 }
 
-/// Whether the backend server that a call is meant for is there and takes calls.
-fn check_open(node: &RoutedNode, timed: &Timed<'_>) -> Result<(), NotRunReason> {
+/// Checks that a call has time left and that the backend server it is meant for takes it.
+fn check_runnable(node: &RoutedNode, timed: &TimedCall<'_>) -> Result<(), NotRunReason> {
     let now = node.now();
-    if now + LEAST_TIME_LEFT > timed.deadline {
+    if now + MIN_TIME_LEFT > timed.deadline {
         return Err(NotRunReason::Late);
     }
     let lives = node.lives.borrow();
     let is_served = lives
         .current()
         .is_some_and(|current| current.service == timed.call.service);
-    let drain = node.settings.bounds.drain.mul_f64(DRAIN_RATIO);
+    let drain = node.settings.bounds.drain.mul_f64(DRAIN_CALLS_RATIO);
     let life = timed.call.life.as_deref();
-    let is_once = !timed.call.is_idempotent && !timed.call.accepts_failing;
-    if is_once && node.is_on(Mechanism::OutlierEjection) && node.run_failures.borrow().is_failing()
+    let avoids_failing_backend = !timed.call.is_idempotent && !timed.call.accepts_failing;
+    if avoids_failing_backend
+        && node.is_on(Mechanism::OutlierEjection)
+        && node.run_failures.borrow().is_failing()
     {
         return Err(NotRunReason::Failing);
     }
@@ -287,35 +301,35 @@
     }
 }
 
-/// Part of the time after a leaving was acknowledged in which calls still go to
-/// that backend server. By then all nodes know; the rest is for calls that begin
-/// to run in that time.
-const DRAIN_RATIO: f64 = 0.6;
+/// Part of the drain time in which a leaving backend server still gets calls. After it, all
+/// nodes know that the server leaves; the rest is left for the calls started until then.
+const DRAIN_CALLS_RATIO: f64 = 0.6;
 
-impl Slot {
-    fn new(node: &Rc<RoutedNode>, timed: &Timed<'_>) -> Self {
+impl RunSlot {
+    fn new(node: &Rc<RoutedNode>, timed: &TimedCall<'_>) -> Self {
         Self {
             node: Rc::clone(node),
             route: String::from(timed.call.route),
             began: node.now(),
-            counts_work: false,
-            has_reached_backend: false,
+            records_run_time: false,
+            is_forwarded: false,
         }
     }
 }
 
-/// A run at the backend server, as the call graph sees it.
-struct Run<'a> {
+/// A run at the backend server. It is reported to the call graph, the tracer and the liveness
+/// check when it starts and, on drop, when it ends.
+struct BackendRun<'a> {
     node: &'a RoutedNode,
     call: &'a CallHead<'a>,
     number: RunId,
-    /// Whether anything came from the backend server.
-    has_sign: bool,
-    /// Whether it did all that it was asked for.
-    is_well: bool,
+    /// Whether the backend server answered or the connection failed, within the time left.
+    has_result: bool,
+    /// Whether the answer has a 2xx status.
+    is_success: bool,
 }
 
-impl<'a> Run<'a> {
+impl<'a> BackendRun<'a> {
     fn new(node: &'a RoutedNode, call: &'a CallHead<'a>, time_left: Duration) -> Self {
         let now = node.now();
         let deadline = now + time_left;
@@ -329,13 +343,13 @@
             node,
             call,
             number,
-            has_sign: false,
-            is_well: false,
+            has_result: false,
+            is_success: false,
         }
     }
 }
 
-impl Drop for Run<'_> {
+impl Drop for BackendRun<'_> {
     fn drop(&mut self) {
         let now = self.node.now();
         self.node
@@ -343,38 +357,42 @@
             .borrow_mut()
             .run_ended(now, self.call.route);
         let mut tracer = self.node.call_tracer.borrow_mut();
-        tracer.run_ended(now, self.number, self.is_well);
+        tracer.run_ended(now, self.number, self.is_success);
         self.node
             .backend_liveness
             .borrow_mut()
-            .call_ended(now, self.has_sign);
+            .call_ended(now, self.has_result);
     }
 }
 
-/// What came of one hand-over to the backend server.
-enum HandedOver {
-    /// This is what becomes of the call.
+/// Result of forwarding a call to the backend server once.
+enum ForwardResult {
+    /// The call has this final answer.
     Ended(LinkAnswer),
-    /// The backend server says that it has no room and has not run it.
-    TurnedAway,
+    /// The backend server reports that it did not run the call, for lack of room.
+    Rejected,
 }
 
-/// Hands a call to the backend server, once more if it was turned away and that is
-/// worth a part of the retry budget.
-async fn hand_over(node: &Rc<RoutedNode>, timed: &Timed<'_>, mut slot: Slot) -> LinkAnswer {
+/// Forwards a call to the backend server, and again after a rejection if the retry budget of the
+/// gate allows it.
+async fn forward_to_backend(
+    node: &Rc<RoutedNode>,
+    timed: &TimedCall<'_>,
+    mut slot: RunSlot,
+) -> LinkAnswer {
     node.gate_retries.borrow_mut().on_first_attempt(node.now());
-    for hand_overs_count in 1.. {
+    for attempts_count in 1.. {
         slot.began = node.now();
-        let handed_over = hand_over_once(node, timed, &mut slot).await;
-        let is_turned_away = matches!(handed_over, HandedOver::TurnedAway);
-        count_run(node, slot.began, &handed_over);
-        node.gate_retries.borrow_mut().on_result(is_turned_away);
-        if let HandedOver::Ended(answer) = handed_over {
-            // A server that fails at once would tell that it is the fastest.
-            slot.counts_work = answer.is_success();
+        let result = forward_once(node, timed, &mut slot).await;
+        let is_rejected = matches!(result, ForwardResult::Rejected);
+        count_run(node, slot.began, &result);
+        node.gate_retries.borrow_mut().on_result(is_rejected);
+        if let ForwardResult::Ended(answer) = result {
+            // Quick failures would make a failing server look like the fastest one.
+            slot.records_run_time = answer.is_success();
             return answer;
         }
-        if !is_handed_over_again(node, timed, hand_overs_count) {
+        if !should_forward_again(node, timed, attempts_count) {
             break;
         }
         node.metrics.count("repeat", "at_gate");
@@ -382,147 +400,152 @@
     LinkAnswer::not_run(NotRunReason::TurnedAway)
 }
 
-/// Counts how a run that began at this moment ended, and whether that was the backend server's own doing.
-fn count_run(node: &RoutedNode, began: Duration, handed_over: &HandedOver) {
+/// Counts the outcome of a run in the metrics and, if it is a success, a failure or a rejection,
+/// in the failure rate of the backend server.
+fn count_run(node: &RoutedNode, began: Duration, result: &ForwardResult) {
     let now = node.now();
     let mut failures = node.run_failures.borrow_mut();
-    let outcome = match handed_over {
-        HandedOver::TurnedAway => {
+    let outcome = match result {
+        ForwardResult::Rejected => {
             failures.rejected();
             "turned_away"
         }
-        HandedOver::Ended(answer) if answer.is_failed_run() => {
+        ForwardResult::Ended(answer) if answer.is_failed_run() => {
             failures.failed(began, now);
             "failed"
         }
-        HandedOver::Ended(answer) if answer.is_success() => {
+        ForwardResult::Ended(answer) if answer.is_success() => {
             failures.succeeded();
             "well"
         }
-        HandedOver::Ended(_) => "other",
+        ForwardResult::Ended(_) => "other",
     };
     drop(failures);
     node.metrics.count("run", outcome);
 }
 
-fn is_handed_over_again(node: &RoutedNode, timed: &Timed<'_>, hand_overs_count: u32) -> bool {
+fn should_forward_again(node: &RoutedNode, timed: &TimedCall<'_>, attempts_count: u32) -> bool {
     let now = node.now();
-    if check_open(node, timed).is_err() || now > timed.latest_start(node) {
+    if check_runnable(node, timed).is_err() || now > timed.latest_start(node) {
         return false;
     }
     if !node.is_on(Mechanism::GateRetries) {
         return false;
     }
     let services_count = node.load_balancer.borrow().services_count();
-    let census = node.route_callers.borrow();
+    let route_callers = node.route_callers.borrow();
     let call = RejectedCall {
-        is_from_outside: census.is_from_outside(now, timed.call.route, services_count),
-        attempts_count: hand_overs_count,
+        is_from_outside: route_callers.is_from_outside(now, timed.call.route, services_count),
+        attempts_count,
     };
-    let mut repeats = node.gate_retries.borrow_mut();
-    repeats.try_retry(now, call) && node.gate.borrow_mut().try_forward_again(now)
+    let mut retries = node.gate_retries.borrow_mut();
+    retries.try_retry(now, call) && node.gate.borrow_mut().try_forward_again(now)
 }
 
-async fn hand_over_once(node: &Rc<RoutedNode>, timed: &Timed<'_>, slot: &mut Slot) -> HandedOver {
+async fn forward_once(
+    node: &Rc<RoutedNode>,
+    timed: &TimedCall<'_>,
+    slot: &mut RunSlot,
+) -> ForwardResult {
     let time_left = timed.deadline.saturating_sub(node.now());
-    let Some(request) = request_of(node, timed, time_left) else {
-        return HandedOver::Ended(LinkAnswer::not_run(NotRunReason::Unsent));
+    let Some(request) = build_request(node, timed, time_left) else {
+        return ForwardResult::Ended(LinkAnswer::not_run(NotRunReason::Unsent));
     };
-    slot.has_reached_backend = true;
-    let mut run = Run::new(node, timed.call, time_left);
+    slot.is_forwarded = true;
+    let mut run = BackendRun::new(node, timed.call, time_left);
     let sent = node.backend.send(request, timed.call.is_idempotent);
     let sent = tokio::time::timeout(time_left, sent).await;
-    run.has_sign = sent.is_ok();
-    run.is_well = matches!(&sent, Ok(Ok(answer)) if (200..300).contains(&answer.status));
+    run.has_result = sent.is_ok();
+    run.is_success = matches!(&sent, Ok(Ok(answer)) if (200..300).contains(&answer.status));
     match sent {
-        Ok(Ok(answer)) => judge(node, timed, slot.began, answer),
-        Ok(Err(error)) => HandedOver::Ended(on_send_error(node, error)),
-        Err(_) => HandedOver::Ended(LinkAnswer::unknown(UnknownReason::NoAnswer)),
+        Ok(Ok(answer)) => classify_answer(node, timed, slot.began, answer),
+        Ok(Err(error)) => ForwardResult::Ended(on_send_error(node, error)),
+        Err(_) => ForwardResult::Ended(LinkAnswer::unknown(UnknownReason::NoAnswer)),
     }
 }
 
-fn request_of(
+fn build_request(
     node: &RoutedNode,
-    timed: &Timed<'_>,
+    timed: &TimedCall<'_>,
     time_left: Duration,
 ) -> Option<Request<BufferedBody>> {
     let call = timed.call;
     let mut request = Request::new(Full::new(timed.payload.body.clone()));
     *request.method_mut() = Method::from_bytes(call.method.as_bytes()).ok()?;
     *request.uri_mut() = call.target.parse::<Uri>().ok()?;
-    *request.headers_mut() = headers_from_fields(&timed.payload.fields, HAND_OVER_FIELDS_COUNT);
-    let hand_over = ForwardedMetadata {
+    *request.headers_mut() = headers_from_fields(&timed.payload.fields, FORWARDED_FIELDS_COUNT);
+    let forwarded = ForwardedMetadata {
         time_left,
         instance: call.life.as_ref().map(|life| &life.instance),
         caller_service: call.caller_service,
         workspace: call.workspace,
     };
-    (node.dialect.write_forwarded_metadata)(request.headers_mut(), &hand_over);
+    (node.dialect.write_forwarded_metadata)(request.headers_mut(), &forwarded);
     Some(request)
 }
 
-/// Decides what an answer says of the call.
+/// Decides what an answer means for the call.
 ///
-/// A connection may bring the late answer to an earlier request, bytes that no
-/// backend server vouches for, or a refusal without the promise. None of these may
-/// reach a caller as the answer to its request.
-fn judge(
+/// A connection may carry a late answer to an earlier request, a success that no backend server
+/// has signed, or an unsigned refusal. None of these may reach a caller as the answer to its
+/// request.
+fn classify_answer(
     node: &RoutedNode,
-    timed: &Timed<'_>,
+    timed: &TimedCall<'_>,
     began: Duration,
     answer: BackendAnswer,
-) -> HandedOver {
-    let marks = (node.dialect.read_answer)(&answer.headers);
-    if let Some(load) = marks.load
+) -> ForwardResult {
+    let metadata = (node.dialect.read_answer)(&answer.headers);
+    if let Some(load) = metadata.load
         && node.is_on(Mechanism::TransitAllowance)
     {
         node.gate.borrow_mut().on_backend_load(load);
     }
-    if let Some(ratio) = marks.slowdown_ratio {
+    if let Some(ratio) = metadata.slowdown_ratio {
         node.machine_slowdown
             .borrow_mut()
             .on_report(node.now(), ratio);
     }
-    let is_other = marks
+    let is_for_other_request = metadata
         .attempt_id
         .as_ref()
         .is_some_and(|attempt| *attempt != timed.call.attempt);
-    if is_other {
+    if is_for_other_request {
         node.metrics.count("garbled", "other_request");
         answer.close_connection();
-        return HandedOver::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
+        return ForwardResult::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
     if answer.status == 421 {
-        if let Some(instance) = &marks.instance
+        if let Some(instance) = &metadata.instance
             && node.lives.borrow_mut().on_answered_as(instance)
         {
             announce_backend(node);
         }
-        answer.return_to_pool(marks.keep_alive_timeout);
-        return HandedOver::Ended(LinkAnswer::not_run(NotRunReason::TurnedAway));
+        answer.return_to_pool(metadata.keep_alive_timeout);
+        return ForwardResult::Ended(LinkAnswer::not_run(NotRunReason::TurnedAway));
     }
-    if marks.is_not_run {
-        on_notices(node, timed.call, began, &marks);
-        answer.return_to_pool(marks.keep_alive_timeout);
-        return HandedOver::TurnedAway;
+    if metadata.is_not_run {
+        on_notices(node, timed.call, began, &metadata);
+        answer.return_to_pool(metadata.keep_alive_timeout);
+        return ForwardResult::Rejected;
     }
     let is_encoded = answer.headers.contains_key(http::header::CONTENT_ENCODING);
     let is_success = (200..300).contains(&answer.status);
-    let is_own = marks.attempt_id.is_some() && marks.is_signed && !is_encoded;
-    let is_hollow_promise = PROMISES.contains(&answer.status) && !marks.is_signed;
-    if (is_success && !is_own) || is_hollow_promise {
+    let is_trusted = metadata.attempt_id.is_some() && metadata.is_signed && !is_encoded;
+    let is_unsigned_not_run = NOT_RUN_STATUSES.contains(&answer.status) && !metadata.is_signed;
+    if (is_success && !is_trusted) || is_unsigned_not_run {
         node.metrics.count("garbled", "unsigned");
         answer.close_connection();
-        return HandedOver::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
+        return ForwardResult::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
-    on_notices(node, timed.call, began, &marks);
+    on_notices(node, timed.call, began, &metadata);
     let status = answer.status;
     let fields = fields_from_headers(&answer.headers);
-    let body = answer.return_to_pool(marks.keep_alive_timeout);
-    HandedOver::Ended(LinkAnswer {
+    let body = answer.return_to_pool(metadata.keep_alive_timeout);
+    ForwardResult::Ended(LinkAnswer {
         outcome: LinkOutcome::Answered { status },
         payload: Payload { fields, body },
-        is_leaving: marks.is_leaving,
+        is_leaving: metadata.is_leaving,
         report: None,
         news: None,
         pressures: Vec::new(),
@@ -532,7 +555,7 @@
 fn on_send_error(node: &RoutedNode, error: SendError) -> LinkAnswer {
     match error {
         SendError::ConnectionRefused => {
-            announce_backend_death(node, "nothing listens at its address");
+            announce_backend_death(node, "connection refused");
             LinkAnswer::not_run(NotRunReason::Closed)
         }
         SendError::Unsent => LinkAnswer::not_run(NotRunReason::TurnedAway),
