--- a/crates/kumquatquay-core/tests/routed/backend_liveness.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_liveness.rs
@@ -1,4 +1,4 @@
-//! When a backend server is taken to be silent.
+//! When a backend server counts as silent.
 
 use std::time::Duration;
 
@@ -8,55 +8,56 @@
 
 const WORK: Duration = Duration::from_millis(40);
 
-/// The host of a backend server loses its power. Nothing closes its connections; ten
-/// calls hang on them until their deadlines, and more would follow.
+/// The host of a backend server loses power, so nothing closes its connections. Ten calls hang
+/// until their deadlines, and further ones would hang as well if the silence weren't noticed.
 #[test]
-fn hanging_calls_without_any_answer_are_silence() {
-    let mut pulse = BackendLiveness::default();
+fn a_server_without_any_answers_is_silent() {
+    let mut liveness = BackendLiveness::default();
     for call in 0..10 {
-        pulse.call_started(at_ms(call * 5));
+        liveness.call_started(at_ms(call * 5));
     }
-    assert!(!pulse.is_silent(at_ms(500), WORK));
-    assert!(pulse.is_silent(at_ms(700), WORK));
+    assert!(!liveness.is_silent(at_ms(500), WORK));
+    assert!(liveness.is_silent(at_ms(700), WORK));
 }
 
-/// It became five times slower; its answers still come one after the other.
+/// A backend server has become five times slower, but still answers one call after the other.
 #[test]
-fn a_slow_one_is_not_silent() {
-    let mut pulse = BackendLiveness::default();
+fn a_slow_server_is_not_silent() {
+    let mut liveness = BackendLiveness::default();
     for call in 0..20 {
-        pulse.call_started(at_ms(call * 10));
+        liveness.call_started(at_ms(call * 10));
     }
     for answer in 1..20 {
         let now = at_ms(200 * answer);
-        assert!(!pulse.is_silent(now, WORK));
-        pulse.call_ended(now, true);
+        assert!(!liveness.is_silent(now, WORK));
+        liveness.call_ended(now, true);
     }
 }
 
-/// One long call alone says nothing of the backend server.
+/// A single long call doesn't show whether the backend server answers.
 #[test]
-fn one_call_may_take_long() {
-    let mut pulse = BackendLiveness::default();
-    pulse.call_started(at_ms(0));
-    assert!(!pulse.is_silent(at_ms(5_000), WORK));
+fn a_single_long_call_is_no_silence() {
+    let mut liveness = BackendLiveness::default();
+    liveness.call_started(at_ms(0));
+    assert!(!liveness.is_silent(at_ms(5_000), WORK));
 }
 
+/// The end of a call that the node itself gives up doesn't show that the backend server answers.
 #[test]
-fn calls_that_are_given_up_are_no_sign() {
-    let mut pulse = BackendLiveness::default();
+fn a_cancelled_call_is_no_sign_of_life() {
+    let mut liveness = BackendLiveness::default();
     for _ in 0..4 {
-        pulse.call_started(at_ms(0));
+        liveness.call_started(at_ms(0));
     }
-    pulse.call_ended(at_ms(690), false);
-    assert!(pulse.is_silent(at_ms(700), WORK));
+    liveness.call_ended(at_ms(690), false);
+    assert!(liveness.is_silent(at_ms(700), WORK));
 }
 
-/// After a quiet hour the first calls are not measured against the last answer.
+/// After an idle hour, silence counts from the start of the first call, not from the last answer.
 #[test]
-fn an_idle_one_is_not_silent() {
-    let mut pulse = BackendLiveness::default();
-    pulse.call_started(at_ms(3_600_000));
-    pulse.call_started(at_ms(3_600_001));
-    assert!(!pulse.is_silent(at_ms(3_600_100), WORK));
+fn an_idle_server_is_not_silent() {
+    let mut liveness = BackendLiveness::default();
+    liveness.call_started(at_ms(3_600_000));
+    liveness.call_started(at_ms(3_600_001));
+    assert!(!liveness.is_silent(at_ms(3_600_100), WORK));
 }
--- a/crates/kumquatquay-core/tests/routed/mechanisms.rs
+++ b/crates/kumquatquay-core/tests/routed/mechanisms.rs
@@ -1,9 +1,9 @@
-//! Switching mechanisms off.
+//! The switches and names of mechanisms.
 
 use kumquatquay_core::routed::{Mechanism, Mechanisms};
 
 #[test]
-fn each_has_a_name_and_a_switch_of_its_own() {
+fn each_mechanism_has_its_own_name_and_switch() {
     for mechanism in Mechanism::ALL {
         assert_eq!(mechanism.to_string().parse(), Ok(mechanism));
         let all = Mechanisms::default().with(Mechanism::OFF_BY_DEFAULT);
@@ -11,14 +11,14 @@
         for other in Mechanism::ALL {
             assert!(all.is_on(other));
             assert_eq!(without.is_on(other), other != mechanism);
-            let is_trial = Mechanism::OFF_BY_DEFAULT.contains(&other);
-            assert_eq!(Mechanisms::default().is_on(other), !is_trial);
+            let is_off_by_default = Mechanism::OFF_BY_DEFAULT.contains(&other);
+            assert_eq!(Mechanisms::default().is_on(other), !is_off_by_default);
         }
     }
 }
 
 #[test]
-fn an_unknown_name_is_told_with_those_that_there_are() {
+fn the_error_for_an_unknown_name_lists_the_known_ones() {
     let error = "levels".parse::<Mechanism>().unwrap_err().to_string();
     assert!(
         error.contains("levels") && error.contains("entry-levels"),
--- a/crates/kumquatquay-core/tests/routed/mixed_deadlines.rs
+++ b/crates/kumquatquay-core/tests/routed/mixed_deadlines.rs
@@ -1,9 +1,10 @@
-//! Calls of unlike size and haste, of one rank, at the gates of one service.
+//! Calls of one priority with different run times and deadlines at the gates of one service, in
+//! simulated time.
 //!
-//! What callers see: acknowledgements of one call of 83 ms are worth most within 0.4 s, and readings
-//! of four calls of 31 ms within 1.5 s, beside commands that go before both. The demand goes up and
-//! down by half, so that gates have queues at each top. None of both kinds may starve for the other,
-//! and none that was let in may be late for one that is late anyway.
+//! Acknowledgements, of one call of 83 ms, are due within 0.4 s, and reads, of four calls of 31 ms,
+//! within 1.5 s. Commands have priority over both. The load oscillates by about half, so that gates
+//! have queues at each peak. Neither acknowledgements nor reads may starve because of the other,
+//! and no admitted request may be late because of one that is late anyway.
 
 use std::time::Duration;
 
@@ -12,14 +13,14 @@
 use crate::call_mesh::{CallMesh, Kind, MeshSettings, Outcome};
 
 const SLOTS_COUNT: usize = 459;
-const WARM: Duration = Duration::from_secs(5);
-const WATCHED: Duration = Duration::from_secs(15);
+const WARM_UP: Duration = Duration::from_secs(5);
+const MEASURED: Duration = Duration::from_secs(15);
 
-/// Share in time that each kind of one rank is to have of that of the other.
-const LIKE_GOAL_RATIO: f64 = 0.85;
+/// Least ratio of the lower to the higher share of timely answers of the two kinds.
+const LEAST_FAIRNESS_RATIO: f64 = 0.85;
 
-/// Share of the requests let in that may be late.
-const LATE_GOAL_RATIO: f64 = 0.02;
+/// Share of the answers that may be late.
+const MOST_LATE_RATIO: f64 = 0.02;
 
 fn kinds() -> [Kind; 3] {
     let ms = Duration::from_millis;
@@ -50,7 +51,7 @@
         call_target_latency: ms(400),
         timeout: ms(1_500),
     };
-    // A base load of two thirds of the room, one and a half times.
+    // The rates above need two thirds of the slots; one and a half times that needs all of them.
     [command, read, acknowledge].map(|kind| Kind {
         requests_per_s: kind.requests_per_s * 1.5,
         ..kind
@@ -68,21 +69,24 @@
         seed,
     };
     let mut mesh = CallMesh::new(settings, &kinds());
-    mesh.run(WARM, WATCHED);
+    mesh.run(WARM_UP, MEASURED);
     mesh.outcomes
 }
 
 #[test]
-fn no_kind_of_a_rank_starves_for_another() {
+fn no_kind_of_requests_starves_another_of_its_priority() {
     for seed in 1..=2 {
         let outcomes = outcomes(QueueOrder::LateLast, seed);
         let [read, acknowledge] = [outcomes[1], outcomes[2]];
         let (read_ratio, ratio) = (read.timely_ratio(), acknowledge.timely_ratio());
-        let like = read_ratio.min(ratio) / read_ratio.max(ratio);
-        assert!(like >= LIKE_GOAL_RATIO, "{outcomes:?}, seed {seed}");
+        let fairness_ratio = read_ratio.min(ratio) / read_ratio.max(ratio);
+        assert!(
+            fairness_ratio >= LEAST_FAIRNESS_RATIO,
+            "{outcomes:?}, seed {seed}"
+        );
         for outcome in [read, acknowledge] {
-            let late = f64::from(outcome.late_count) / f64::from(outcome.served_count());
-            assert!(late <= LATE_GOAL_RATIO, "{outcomes:?}, seed {seed}");
+            let late_ratio = f64::from(outcome.late_count) / f64::from(outcome.served_count());
+            assert!(late_ratio <= MOST_LATE_RATIO, "{outcomes:?}, seed {seed}");
         }
     }
 }
--- a/crates/kumquatquay-core/tests/routed/unknown_keys.rs
+++ b/crates/kumquatquay-core/tests/routed/unknown_keys.rs
@@ -1,4 +1,4 @@
-//! Keys that no workspace holds.
+//! The cache of keys that belong to no workspace.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_key_is_remembered_for_a_while() {
+fn a_key_is_remembered_for_thirty_seconds() {
     let mut keys = UnknownKeys::default();
     keys.insert(at_ms(0), key(1));
     assert!(keys.contains(at_ms(29_000), key(1)));
@@ -20,10 +20,10 @@
     assert!(!keys.contains(at_ms(0), key(2)));
 }
 
-/// Somebody tries a hundred thousand keys. Memory stays bounded, and what is remembered is what
-/// was shown last.
+/// A caller tries 20,000 keys. The number of remembered keys stays bounded, and the latest key is
+/// among them.
 #[test]
-fn a_flood_of_keys_is_not_all_remembered() {
+fn the_number_of_remembered_keys_is_bounded() {
     let mut keys = UnknownKeys::default();
     for number in 0..20_000 {
         keys.insert(Duration::from_micros(u64::from(number)), key(number));
--- a/crates/kumquatquay-core/tests/routed/weighted_split.rs
+++ b/crates/kumquatquay-core/tests/routed/weighted_split.rs
@@ -1,28 +1,29 @@
-//! How the calls of a route are split among services.
+//! Splitting the calls of a route among services by weight.
 
 use kumquatquay_core::routed::WeightedSplit;
 use kumquatquay_wire::routed::Destination;
 use quickcheck::quickcheck;
 
 fn destinations(weights: &[u32]) -> Vec<Destination> {
-    let named = weights
+    let destinations = weights
         .iter()
         .enumerate()
-        .map(|(place, weight)| Destination {
-            service: place.to_string(),
+        .map(|(index, weight)| Destination {
+            service: index.to_string(),
             weight: *weight,
         });
-    named.collect()
+    destinations.collect()
 }
 
-/// Calls that the first service gets of the next `count`.
+/// How many of the next `count` calls go to the first service.
 fn first_count(split: &WeightedSplit, count: usize) -> usize {
     let services = (0..count).filter_map(|_| split.next());
     services.filter(|service| *service == "0").count()
 }
 
 quickcheck! {
-    fn any_span_of_calls_keeps_the_shares(weight: u8, skipped: u8, phase: f64) -> bool {
+    /// After any number of calls, the next 300 are split by the weights.
+    fn any_sequence_of_calls_is_split_by_weight(weight: u8, skipped: u8, phase: f64) -> bool {
         let weight = u32::from(weight) % 99 + 1;
         let phase = if phase.is_finite() { phase.fract().abs() } else { 0.0 };
         let split = WeightedSplit::new(&destinations(&[weight, 100 - weight]), phase);
@@ -32,12 +33,11 @@
     }
 }
 
-/// A route is split 90 to 10. Each of 59 nodes sees six of its calls within the time
-/// in which the shares are looked at, too few for any of them to keep the shares
-/// by itself. Nodes that all began at the same place would send the small part
-/// nothing, or twice its share.
+/// A route is split 90 to 10. Each of 59 nodes sends six calls in the time in which the shares are
+/// checked, which is too few for a node to keep the shares by itself. If all nodes started at the
+/// same phase, the service with the small weight would get no calls, or twice its share.
 #[test]
-fn many_nodes_with_few_calls_keep_the_shares() {
+fn many_nodes_with_few_calls_split_them_by_weight() {
     let nodes_count = 59;
     let phases = (0..nodes_count).map(|node| f64::from(node) / f64::from(nodes_count));
     let counts = phases.map(|phase| {
@@ -56,6 +56,6 @@
 }
 
 #[test]
-fn without_destinations_there_is_none() {
+fn without_destinations_there_is_no_service() {
     assert_eq!(WeightedSplit::new(&[], 0.5).next(), None);
 }
--- a/crates/kumquatquay-core/tests/routed/work_based_load.rs
+++ b/crates/kumquatquay-core/tests/routed/work_based_load.rs
@@ -1,8 +1,8 @@
-//! Calls of 55 ms and of 880 ms at one service that is short.
+//! Calls of 55 ms and of 880 ms at one overloaded service, in simulated time.
 //!
-//! What callers see: few and long calls of the lowest rank take a quarter of the slots. Counted as
-//! calls they are one in fifty, so refusing all of them seems to make no difference, and the more
-//! important are refused for what they take. Counted as work they are refused first.
+//! A few long calls of the lowest priority take a quarter of the slots. Counted as calls they are
+//! one in fifty, so refusing all of them seems to make no difference, and more important requests
+//! are refused instead. Counted as work, i.e. slot time, they are refused first.
 
 use std::time::Duration;
 
@@ -11,16 +11,17 @@
 use crate::call_mesh::{CallMesh, Kind, MeshSettings};
 
 const SLOTS_COUNT: usize = 437;
-const WARM: Duration = Duration::from_secs(5);
-const WATCHED: Duration = Duration::from_secs(15);
+const WARM_UP: Duration = Duration::from_secs(5);
+const MEASURED: Duration = Duration::from_secs(15);
 
-/// Room that is to be used, of what there is or is asked for.
-const USED_GOAL_RATIO: f64 = 0.93;
+/// Slots that must be in use, as a share of those that there are or that are requested.
+const LEAST_USED_RATIO: f64 = 0.93;
 
-/// How far what each rank gets may lie from what it would get if all room went by rank.
-const KNAPSACK_GOAL_RATIO: f64 = 0.02;
+/// Slots that may be missing from what each priority would get by strict priority, as a share of
+/// all slots.
+const MOST_MISPLACED_RATIO: f64 = 0.02;
 
-/// Kinds of requests that ask for so many times the room that there is.
+/// Kinds of requests that together need `load_ratio` times the slots.
 fn kinds(load_ratio: f64) -> [Kind; 3] {
     let kind = |route, rank, requests_per_s, calls_count, work_ms, target_ms, timeout_ms| Kind {
         route,
@@ -37,25 +38,26 @@
         kind("quote", 1, 585.0, 8, 55, 1_500, 5_000),
         kind("times", 2, 104.0, 1, 880, 5_000, 10_000),
     ];
-    let asked = kinds
+    let requested = kinds
         .map(|kind| kind.requests_per_s * f64::from(kind.calls_count) * kind.work.as_secs_f64());
-    let factor = load_ratio * SLOTS_COUNT as f64 / asked.iter().sum::<f64>();
+    let factor = load_ratio * SLOTS_COUNT as f64 / requested.iter().sum::<f64>();
     kinds.map(|kind| Kind {
         requests_per_s: kind.requests_per_s * factor,
         ..kind
     })
 }
 
-/// What came of a load.
+/// How the slots were used.
 #[derive(Debug)]
-struct Shares {
-    /// Slots used, over those that there are or are asked for.
+struct SlotUse {
+    /// Slots in use, as a share of those that there are or that are requested.
     used_ratio: f64,
-    /// Slots that ranks didn't get although less important ones got as many, over all.
+    /// Slots that a priority lacked although less important requests got as many, as a share of
+    /// all slots.
     misplaced_ratio: f64,
 }
 
-fn shares(load_ratio: f64, has_route_works: bool, seed: u64) -> Shares {
+fn slot_use(load_ratio: f64, has_route_works: bool, seed: u64) -> SlotUse {
     let settings = MeshSettings {
         entries_count: 79,
         gates_count: 19,
@@ -66,37 +68,37 @@
         seed,
     };
     let mut mesh = CallMesh::new(settings, &kinds(load_ratio));
-    mesh.run(WARM, WATCHED);
+    mesh.run(WARM_UP, MEASURED);
     let outcomes = mesh.outcomes.iter().enumerate();
-    let got: Vec<f64> = outcomes
+    let used_slots: Vec<f64> = outcomes
         .clone()
         .map(|(kind, outcome)| mesh.slots_of(kind, outcome.served_count()))
         .collect();
-    let mut room = got.iter().sum::<f64>();
+    let mut room = used_slots.iter().sum::<f64>();
     let mut misplaced = 0.0;
     for (kind, outcome) in outcomes {
         let share = mesh.slots_of(kind, outcome.offered_count).min(room);
         room -= share;
-        misplaced += (share - got[kind]).max(0.0);
+        misplaced += (share - used_slots[kind]).max(0.0);
     }
-    Shares {
+    SlotUse {
         used_ratio: mesh.used_ratio() / load_ratio.min(1.0),
         misplaced_ratio: misplaced / SLOTS_COUNT as f64,
     }
 }
 
-macro_rules! goes_by_rank {
+macro_rules! slots_are_used_by_priority {
     ($($name:ident: $load:expr;)*) => {
         $(
-            /// Whatever the load: the room is used, and goes to the important first.
+            /// Whatever the load, the slots are used, and by the most important requests first.
             #[test]
             fn $name() {
                 for seed in 1..=3 {
-                    let shares = shares($load, true, seed);
-                    assert!(shares.used_ratio >= USED_GOAL_RATIO, "{shares:?}, seed {seed}");
+                    let slot_use = slot_use($load, true, seed);
+                    assert!(slot_use.used_ratio >= LEAST_USED_RATIO, "{slot_use:?}, seed {seed}");
                     assert!(
-                        shares.misplaced_ratio <= KNAPSACK_GOAL_RATIO,
-                        "{shares:?}, seed {seed}"
+                        slot_use.misplaced_ratio <= MOST_MISPLACED_RATIO,
+                        "{slot_use:?}, seed {seed}"
                     );
                 }
             }
@@ -104,15 +106,16 @@
     };
 }
 
-goes_by_rank! {
-    nine_tenths_of_the_room: 0.9;
-    a_fifth_more_than_the_room: 1.2;
-    half_as_much_again_as_the_room: 1.5;
+slots_are_used_by_priority! {
+    nine_tenths_of_the_capacity: 0.9;
+    a_fifth_more_than_the_capacity: 1.2;
+    half_as_much_again_as_the_capacity: 1.5;
 }
 
-/// Counted as calls, two in five of the long ones are refused although there is room for all.
+/// If the work of calls isn't told apart by route, two in five of the long calls are refused
+/// although there are slots for all.
 #[test]
-fn counted_as_calls_the_room_stands_empty() {
-    let shares = shares(0.9, false, 1);
-    assert!(shares.used_ratio < USED_GOAL_RATIO, "{shares:?}");
+fn without_run_times_by_route_slots_are_idle() {
+    let slot_use = slot_use(0.9, false, 1);
+    assert!(slot_use.used_ratio < LEAST_USED_RATIO, "{slot_use:?}");
 }
--- a/crates/kumquatquay-core/tests/routed/workspaces.rs
+++ b/crates/kumquatquay-core/tests/routed/workspaces.rs
@@ -1,4 +1,4 @@
-//! Who a caller is, and its rank.
+//! The workspace of a caller and the priority of its requests.
 
 use std::time::Duration;
 
@@ -57,50 +57,52 @@
 }
 
 identifies! {
-    a_key_names_its_workspace: false, shown("k2") => "south";
-    a_key_of_nobody_is_unknown: false, shown("k3") => "unknown";
-    a_route_asks_for_a_key: false, PresentedKey::Missing => "missing";
-    a_key_that_cannot_be_read_is_none: false, PresentedKey::Malformed => "missing";
-    a_public_route_asks_for_none: true, PresentedKey::Missing => "not asked";
-    a_public_route_passes_over_an_unknown_key: true, shown("k3") => "not asked";
-    a_key_counts_on_a_public_route_too: true, shown("k1") => "north";
+    a_key_identifies_its_workspace: false, shown("k2") => "south";
+    a_key_of_no_workspace_is_unknown: false, shown("k3") => "unknown";
+    a_route_requires_a_key: false, PresentedKey::Missing => "missing";
+    a_malformed_key_counts_as_missing: false, PresentedKey::Malformed => "missing";
+    a_public_route_requires_no_key: true, PresentedKey::Missing => "not asked";
+    a_public_route_ignores_an_unknown_key: true, shown("k3") => "not asked";
+    a_key_identifies_its_workspace_on_a_public_route: true, shown("k1") => "north";
 }
 
-/// An operator takes the last workspace out of the list. The routes must not be open to all then.
+/// An operator removes the last workspace from the list. That must not open the routes to callers
+/// without keys.
 #[test]
-fn an_empty_list_of_workspaces_opens_nothing() {
+fn an_empty_list_of_workspaces_opens_no_route() {
     let workspaces = Workspaces::new(Some(Vec::new()));
     let verdict = workspaces.identify(&route(false, 1), PresentedKey::Missing);
     assert_eq!(verdict, CallerIdentity::MissingKey);
 }
 
 #[test]
-fn without_workspaces_nobody_is_asked() {
+fn without_workspaces_no_key_is_required() {
     let verdict = Workspaces::new(None).identify(&route(false, 1), shown("k1"));
     assert_eq!(verdict, CallerIdentity::Anonymous);
 }
 
-/// A digest in a state dump, a log line or a panic would tell which key was used.
+/// A digest in a state dump, a log line or a panic would reveal which key was used.
 #[test]
-fn a_digest_prints_nothing_of_itself() {
+fn the_debug_output_of_a_digest_reveals_nothing() {
     let printed = format!("{:?}", workspace("north", "k1", None));
     assert!(printed.contains("keys: [KeyDigest]"), "{printed}");
 }
 
 #[test]
-fn the_rank_of_a_workspace_goes_before_that_of_the_route() {
+fn the_priority_of_a_workspace_comes_before_that_of_the_route() {
     let important = workspace("north", "k1", Some(0));
     let other = workspace("south", "k2", Some(1));
-    let look_up = request_priority(&route(false, 2), Some(&important));
+    let lookup = request_priority(&route(false, 2), Some(&important));
     let filing = request_priority(&route(false, 0), Some(&other));
-    assert!(look_up < filing);
+    assert!(lookup < filing);
 }
 
-/// All workspaces of one rank send filings and look-ups. Of these, filings are refused last.
+/// Workspaces of one priority send filings and lookups. Among these requests, filings are refused
+/// last.
 #[test]
-fn within_a_rank_of_workspaces_routes_are_ordered() {
+fn within_a_workspace_priority_routes_are_ordered() {
     let workspace = workspace("north", "k1", Some(1));
     let filing = request_priority(&route(false, 0), Some(&workspace));
-    let look_up = request_priority(&route(false, 2), Some(&workspace));
-    assert!(filing < look_up);
+    let lookup = request_priority(&route(false, 2), Some(&workspace));
+    assert!(filing < lookup);
 }
