--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -1,4 +1,4 @@
-//! Lets whole requests in, holds them, or refuses them, before anything was done for them.
+//! Admits, holds or refuses root requests at the entry, before any work is done for them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,43 +18,43 @@
     request_log::log_request,
 };
 
-/// Place behind all others of the same rank.
-const LAST_PLACE: f64 = 1.0;
+/// Tie breaker that orders a request behind all others of the same priority.
+const LAST_TIE_BREAKER: f64 = 1.0;
 
-/// Work of a request at a service that nobody has told yet.
-const UNKNOWN_WORK: Duration = Duration::from_millis(50);
+/// Work of a request at a service that is assumed until a node has reported it.
+const DEFAULT_WORK: Duration = Duration::from_millis(50);
 
-/// A request at the entry that may have to wait.
+/// A request at the entry that isn't admitted yet.
 pub(super) struct PendingRequest<'a> {
     pub(super) call: &'a OutgoingCall,
-    /// When it was read.
+    /// When it was received.
     pub(super) began: Duration,
-    /// When its caller gives up, if it has said so.
-    pub(super) expires: Option<Duration>,
+    /// Deadline that the caller stated, if any.
+    pub(super) caller_deadline: Option<Duration>,
 }
 
-/// What becomes of a request at the entry.
+/// Result of the admission of a request at the entry.
 pub(super) enum Admission {
-    /// It is let in.
+    /// The request may be forwarded.
     Admitted,
-    /// It is refused, and has not run.
+    /// The request is refused with this response, and has not run.
     Refused(Response<BufferedBody>),
-    /// Another configuration came into force while it was held.
+    /// Another configuration came into force while the request was held.
     ConfigurationChanged,
 }
 
-/// A service that is short, and what that means for one who asks for its room.
+/// A service without enough capacity, and what that means for the requests of one claimant.
 pub(super) struct ClaimantShortage {
     pub(super) shortage: Shortage,
-    /// Share of the requests of the same claimant that are let in.
+    /// Share of the claimant's requests that are admitted.
     pub(super) admission_probability: f64,
 }
 
 impl ClaimantShortage {
-    /// Takes in that one of a line asks for room at the service that is short.
-    fn of(node: &RoutedNode, line: &FlowKey, shortage: Shortage) -> Self {
+    /// Counts a request of a flow at the service that is short, for the fair shares.
+    fn of(node: &RoutedNode, flow: &FlowKey, shortage: Shortage) -> Self {
         let admission_probability = if node.is_on(Mechanism::FairShares) {
-            ask_for_share(node, line, &shortage)
+            fair_admission_probability(node, flow, &shortage)
         } else {
             shortage.admission_probability
         };
@@ -65,78 +65,82 @@
     }
 }
 
-/// The chance of a claimant, by the work that it asks of the service that is short.
-fn ask_for_share(node: &RoutedNode, line: &FlowKey, shortage: &Shortage) -> f64 {
+/// Counts the work that a request asks of the short service, and returns the admission
+/// probability of its claimant by the fair shares.
+fn fair_admission_probability(node: &RoutedNode, flow: &FlowKey, shortage: &Shortage) -> f64 {
     let now = node.now();
     let works = node
         .entry_admission
         .borrow()
-        .work_by_service(now, &line.route, &line.service);
+        .work_by_service(now, &flow.route, &flow.service);
     let work = works.iter().find(|work| work.service == shortage.service);
-    let work = work.map_or(UNKNOWN_WORK, |work| work.work);
+    let work = work.map_or(DEFAULT_WORK, |work| work.work);
     let group = ShareGroup {
         service: shortage.service.clone(),
-        priority: line.priority,
+        priority: flow.priority,
     };
     let mut shares = node.fair_shares.borrow_mut();
     let work_s = work.as_secs_f64();
     shares.on_request(
         now,
         &group,
-        &line.claimant,
+        &flow.claimant,
         work_s,
         shortage.admission_probability,
     )
 }
 
 impl PendingRequest<'_> {
-    /// Moment until which its answer is worth most.
+    /// Time by which the answer should be there: the target latency of the route, or the deadline
+    /// if that is earlier.
     pub(super) fn due(&self) -> Duration {
         let due = self.began + self.call.route.settings.target_latency;
         due.min(self.call.deadline)
     }
 }
 
-/// Lets a request in, if need be after it was held, or refuses it.
+/// Admits a request, if need be after it was held, or refuses it.
 pub(super) async fn admit(node: &Rc<RoutedNode>, pending: &PendingRequest<'_>) -> Admission {
-    let Err(shortage) = offer(node, pending) else {
+    let Err(shortage) = check_admission(node, pending) else {
         return Admission::Admitted;
     };
-    if !decides_by_chance(node) {
+    if !admits_by_probability(node) {
         let admission_probability = shortage.admission_probability;
-        let short = ClaimantShortage {
+        let claimant_shortage = ClaimantShortage {
             shortage,
             admission_probability,
         };
-        return Admission::Refused(refuse(node, pending, &short, None));
+        return Admission::Refused(refuse(node, pending, &claimant_shortage, None));
     }
-    let line = flow_key_of(pending.call);
-    let short = ClaimantShortage::of(node, &line, shortage);
+    let flow = flow_key_of(pending.call);
+    let claimant_shortage = ClaimantShortage::of(node, &flow, shortage);
     if may_hold(node) {
-        return hold_or_refuse(node, pending, &line, &short).await;
+        return hold_or_refuse(node, pending, &flow, &claimant_shortage).await;
     }
-    if node.random.borrow_mut().random::<f64>() < short.admission_probability {
+    if node.random.borrow_mut().random::<f64>() < claimant_shortage.admission_probability {
         return Admission::Admitted;
     }
-    Admission::Refused(refuse(node, pending, &short, None))
+    Admission::Refused(refuse(node, pending, &claimant_shortage, None))
 }
 
 async fn hold_or_refuse(
     node: &RoutedNode,
     pending: &PendingRequest<'_>,
-    line: &FlowKey,
-    short: &ClaimantShortage,
+    flow: &FlowKey,
+    claimant_shortage: &ClaimantShortage,
 ) -> Admission {
-    match hold(node, pending, line, short).await {
-        HoldResult::Admitted => check_again(node, pending),
-        HoldResult::NoRoom { room_in } => Admission::Refused(refuse(node, pending, short, room_in)),
+    match hold(node, pending, flow, claimant_shortage).await {
+        HoldResult::Admitted => recheck(node, pending),
+        HoldResult::NoRoom { room_in } => {
+            Admission::Refused(refuse(node, pending, claimant_shortage, room_in))
+        }
         HoldResult::Stopping => Admission::Refused(refuse_stopping(node, pending.call)),
         HoldResult::ConfigurationChanged => Admission::ConfigurationChanged,
     }
 }
 
-/// Whether a request that may have been held is still allowed.
-fn check_again(node: &RoutedNode, pending: &PendingRequest<'_>) -> Admission {
+/// Checks the configuration and the caller's key again, since the request may have been held.
+fn recheck(node: &RoutedNode, pending: &PendingRequest<'_>) -> Admission {
     let call = pending.call;
     if call.version != node.route_version() {
         return Admission::ConfigurationChanged;
@@ -153,13 +157,15 @@
     node.is_on(Mechanism::EntryHold) && node.stop_phase() == StopPhase::Serving
 }
 
-/// Whether a request is let in by its chance, and not by a place of its own in its rank.
-fn decides_by_chance(node: &RoutedNode) -> bool {
+/// Whether requests of one priority are admitted by an admission probability, and not by a random
+/// tie breaker each.
+fn admits_by_probability(node: &RoutedNode) -> bool {
     may_hold(node) || node.is_on(Mechanism::FairShares)
 }
 
-/// Offers a request by its rank; a call of a backend server is part of one that was let in.
-fn offer(node: &RoutedNode, pending: &PendingRequest<'_>) -> Result<(), Shortage> {
+/// Checks a request against the admission levels. A call of the backend server always passes: it
+/// belongs to a root request that was admitted.
+fn check_admission(node: &RoutedNode, pending: &PendingRequest<'_>) -> Result<(), Shortage> {
     let call = pending.call;
     let route = &call.route.settings.name;
     let is_from_outside = node
@@ -167,94 +173,101 @@
         .borrow()
         .is_from_outside(node.now(), route);
     if is_from_outside == Some(false) {
-        note_call(node, pending);
+        record_call(node, pending);
         return Ok(());
     }
     if !node.is_on(Mechanism::EntryLevels) {
         return Ok(());
     }
-    let place = if decides_by_chance(node) {
-        LAST_PLACE
+    let tie_breaker = if admits_by_probability(node) {
+        LAST_TIE_BREAKER
     } else {
         node.random.borrow_mut().random()
     };
     let request = EntryRequest {
         route,
         service: &call.service,
-        priority: call.whole_priority.get(),
-        tie_breaker: place,
+        priority: call.request_priority.get(),
+        tie_breaker,
     };
-    offer_request(node, &request)
+    check_entry_request(node, &request)
 }
 
-fn offer_request(node: &RoutedNode, request: &EntryRequest<'_>) -> Result<(), Shortage> {
+fn check_entry_request(node: &RoutedNode, request: &EntryRequest<'_>) -> Result<(), Shortage> {
     let Some(table) = node.routes() else {
         return Ok(());
     };
-    let mut levels = node.entry_admission.borrow_mut();
-    levels.admit(node.now(), request, table.priorities())
+    let mut entry_admission = node.entry_admission.borrow_mut();
+    entry_admission.admit(node.now(), request, table.priorities())
 }
 
-/// Offers a request of a line anew and tells the chance that it has.
-pub(super) fn admission_probability(node: &RoutedNode, line: &FlowKey) -> f64 {
+/// Current admission probability of a request of a flow, which counts as another request for the
+/// fair shares.
+pub(super) fn admission_probability(node: &RoutedNode, flow: &FlowKey) -> f64 {
     let request = EntryRequest {
-        route: &line.route,
-        service: &line.service,
-        priority: line.priority,
-        tie_breaker: LAST_PLACE,
+        route: &flow.route,
+        service: &flow.service,
+        priority: flow.priority,
+        tie_breaker: LAST_TIE_BREAKER,
     };
-    match offer_request(node, &request) {
+    match check_entry_request(node, &request) {
         Ok(()) => 1.0,
-        Err(shortage) => ClaimantShortage::of(node, line, shortage).admission_probability,
+        Err(shortage) => ClaimantShortage::of(node, flow, shortage).admission_probability,
     }
 }
 
-/// A call that a backend server made is put to the run that made it.
-fn note_call(node: &RoutedNode, pending: &PendingRequest<'_>) {
+/// Records a call of the backend server in the call graph and the tracer. If the tracer finds the
+/// run that made it, the call takes the priority of that run's root request.
+fn record_call(node: &RoutedNode, pending: &PendingRequest<'_>) {
     let now = node.now();
     let call = pending.call;
     let route = &call.route.settings.name;
     node.call_graph.borrow_mut().call_started(now, route);
-    let Some(expires) = pending.expires else {
+    let Some(caller_deadline) = pending.caller_deadline else {
         return;
     };
-    let whole_priority = node.call_tracer.borrow_mut().call_started(route, expires);
-    if let Some(priority) = whole_priority.filter(|_| node.is_on(Mechanism::RequestPriority)) {
-        call.whole_priority.set(priority);
+    let request_priority = node
+        .call_tracer
+        .borrow_mut()
+        .call_started(route, caller_deadline);
+    if let Some(priority) = request_priority.filter(|_| node.is_on(Mechanism::RequestPriority)) {
+        call.request_priority.set(priority);
     }
 }
 
 fn refuse(
     node: &RoutedNode,
     pending: &PendingRequest<'_>,
-    short: &ClaimantShortage,
+    claimant_shortage: &ClaimantShortage,
     room_in: Option<Duration>,
 ) -> Response<BufferedBody> {
     let now = node.now();
     let ClaimantShortage {
         shortage,
         admission_probability,
-    } = short;
+    } = claimant_shortage;
     let short_for = if node.is_on(Mechanism::GrowingRetryAfter) {
         shortage.duration
     } else {
         Duration::ZERO
     };
-    let returns = RetryAfter {
+    let retry = RetryAfter {
         target_latency: pending.call.route.settings.target_latency,
-        time_left: pending.expires.map(|expires| expires.saturating_sub(now)),
+        time_left: pending
+            .caller_deadline
+            .map(|caller_deadline| caller_deadline.saturating_sub(now)),
         short_for,
         room_in,
     };
-    let wait = returns.draw(&mut *node.random.borrow_mut());
+    let wait = retry.draw(&mut *node.random.borrow_mut());
     node.metrics.count("refused", "shortage");
     if *admission_probability < shortage.admission_probability {
         node.metrics.count("refused_by_share", "asked_for_more");
     }
     if node.metrics.take_log_permit(now) {
         let why = format!(
-            "{} has room for {:.2} of the offered load, told {} ms ago, short for {} ms; \
-             {:.2} of this rank are let in, {admission_probability:.2} of this workspace's",
+            "{} has capacity for {:.2} of its load (reported {} ms ago, short for {} ms); admitted: \
+             {:.2} of this priority, {admission_probability:.2} of this workspace or route",
             shortage.service,
             shortage.level,
             shortage.age.as_millis(),
@@ -266,16 +279,16 @@
     local_answer(
         StatusCode::SERVICE_UNAVAILABLE,
         Some(wait),
-        "no room for the whole request\n",
+        "not enough capacity for this request\n",
     )
 }
 
 fn refuse_stopping(node: &RoutedNode, call: &OutgoingCall) -> Response<BufferedBody> {
     node.metrics.count("refused", "stopping");
-    refuse_temporarily(node, call, "this node stops\n")
+    refuse_temporarily(node, call, "this node is shutting down\n")
 }
 
-/// Answers a request that has not run and may come back.
+/// Refuses a request that has not run, with a time after which to retry.
 pub(super) fn refuse_temporarily(
     node: &RoutedNode,
     call: &OutgoingCall,
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -228,7 +228,7 @@
         let pending = PendingRequest {
             call: &call,
             began: request.began,
-            expires: time_left.map(|time_left| request.began + time_left),
+            caller_deadline: time_left.map(|time_left| request.began + time_left),
         };
         match admit(node, &pending).await {
             Admission::Admitted => return Entered::Admitted(call),
@@ -265,7 +265,7 @@
         caller,
         service,
         version: table.version(),
-        whole_priority: Cell::new(request_priority(&route.settings, workspace.as_deref())),
+        request_priority: Cell::new(request_priority(&route.settings, workspace.as_deref())),
         workspace,
         deadline: deadline_of(&route, marks, request.began),
         attempt: marks.attempt_id.clone().unwrap_or_default(),
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -34,8 +34,8 @@
 /// An attempt counts as hung if it has no answer after this many mean run times, and not
 /// before the minimum below. A call may wait for two mean run times at a gate, and the
 /// slowest 1% of the runs take five.
-const HANG_RUN_TIMES: u32 = 10;
-const HANG_TIMEOUT_MIN: Duration = Duration::from_millis(200);
+const HANG_FACTOR: u32 = 10;
+const MIN_HANG_TIME: Duration = Duration::from_millis(200);
 
 /// A call that came in at the entry of this host.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     pub(crate) workspace: Option<Arc<WorkspaceSettings>>,
     /// Priority of the root request that it belongs to. It is the call's own priority until the
     /// run that made the call is known.
-    pub(crate) whole_priority: Cell<Priority>,
+    pub(crate) request_priority: Cell<Priority>,
     pub(crate) attempt: String,
     pub(crate) deadline: Duration,
     pub(crate) method: String,
@@ -208,7 +208,7 @@
         let mut first = pin!(attempt(node, call, endpoint, accepts_failing, &guard));
         tokio::select! {
             answer = first.as_mut() => return answer,
-            () = tokio::time::sleep(HANG_TIMEOUT_MIN.max(endpoint.mean_run_time * HANG_RUN_TIMES)) => {}
+            () = tokio::time::sleep(MIN_HANG_TIME.max(endpoint.mean_run_time * HANG_FACTOR)) => {}
             () = endpoint_silence(node, call, endpoint) => {}
         }
         let Some(other) = self.pick_hedge(node, call) else {
@@ -491,7 +491,7 @@
             .map(|workspace| workspace.name.as_str()),
         attempt: &call.attempt,
         priority: call.priority(),
-        whole_priority: call.whole_priority.get(),
+        whole_priority: call.request_priority.get(),
         target_latency_ms: settings.target_latency.as_millis() as u64,
         level_permille: (level * 1_000.0) as u16,
         is_idempotent: settings.repeat == Repeat::Idempotent,
--- a/crates/kumquatquayd/src/routed/held_requests.rs
+++ b/crates/kumquatquayd/src/routed/held_requests.rs
@@ -81,7 +81,7 @@
     FlowKey {
         route: route.clone(),
         service: call.service.clone(),
-        priority: call.whole_priority.get(),
+        priority: call.request_priority.get(),
         claimant: workspace.map_or_else(|| route.clone(), |workspace| workspace.name.clone()),
     }
 }
@@ -150,7 +150,7 @@
         request = call.attempt.as_str(),
         route = call.route.settings.name.as_str(),
         workspace = workspace.map_or("", |workspace| workspace.name.as_str()),
-        rank = call.whole_priority.get(),
+        rank = call.request_priority.get(),
         short_service = shortage.service.as_str(),
         level = shortage.level,
         held_ms = now.saturating_sub(began).as_millis() as u64,
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -178,8 +178,8 @@
     }
 }
 
-/// Withdraws all waiting calls, since the backend server is leaving. Their senders try other
-/// backend servers.
+/// Withdraws all waiting calls, since the backend server is leaving or dead. Their senders try
+/// other backend servers.
 pub(crate) fn withdraw_waiting(node: &RoutedNode) {
     let waiting = node.gate.borrow_mut().withdraw_all();
     // A call learns from its dropped permit that it isn't run here.
