--- a/crates/kumquatquay-core/src/quota/mod.rs
+++ b/crates/kumquatquay-core/src/quota/mod.rs
@@ -33,11 +33,11 @@
 //! let keeper = "10.1.0.7:7003".parse().unwrap();
 //! let now = 10 * second;
 //! let granted = lender.lend(now, keeper, SliceSets::ALL);
-//! pool.lent(now, "10.1.0.8:7003".parse().unwrap(), Loan { granted, asked: now, nodes_count: 1 });
+//! pool.set_loan(now, "10.1.0.8:7003".parse().unwrap(), Loan { granted, asked: now, nodes_count: 1 });
 //!
 //! let limit = QuotaLimit { rate_per_s: 2.0, depth_count: 4.0 };
-//! assert!(pool.take(now + second / 2, "north", limit).is_ok());
-//! assert!(pool.take(now + second / 2, "north", limit).is_err());
+//! assert!(pool.try_take(now + second / 2, "north", limit).is_ok());
+//! assert!(pool.try_take(now + second / 2, "north", limit).is_err());
 //! ```
 
 mod borrowers;
--- a/crates/kumquatquay-core/src/quota/node_quotas.rs
+++ b/crates/kumquatquay-core/src/quota/node_quotas.rs
@@ -9,8 +9,8 @@
 
 use super::{Lender, Loan, QuotaExceeded, QuotaLimit, QuotaPool};
 
-/// Stands for the node itself, as a keeper of what nobody has asked it to lend.
-const OWN_REST: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Stands for the node itself, as a borrower of what nobody has asked it to lend.
+const UNLENT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// What one node owns, lends and keeps.
 ///
@@ -30,27 +30,27 @@
         }
     }
 
-    /// Lends a keeper what it asks for. `nodes_count` is among how many nodes quotas are split;
+    /// Lends a borrower what it asks for. `nodes_count` is among how many nodes quotas are split;
     /// while that isn't known, nothing is lent.
     pub fn lend(
         &mut self,
         now: Duration,
-        keeper: SocketAddr,
+        borrower: SocketAddr,
         wanted: SliceSets,
         nodes_count: Option<usize>,
     ) -> SliceSets {
         if nodes_count.is_none() {
             return SliceSets::default();
         }
-        let granted = self.lender.lend(now, keeper, wanted);
-        self.use_rest(now, nodes_count);
+        let granted = self.lender.lend(now, borrower, wanted);
+        self.use_unlent(now, nodes_count);
         granted
     }
 
     /// What isn't lent counts for this node; to be said again before a loan's time is over.
-    pub fn use_rest(&mut self, now: Duration, nodes_count: Option<usize>) {
+    pub fn use_unlent(&mut self, now: Duration, nodes_count: Option<usize>) {
         let granted = match nodes_count {
-            Some(_) => self.lender.kept(now),
+            Some(_) => self.lender.unlent(now),
             None => SliceSets::default(),
         };
         let loan = Loan {
@@ -58,14 +58,14 @@
             asked: now,
             nodes_count: nodes_count.unwrap_or(usize::MAX),
         };
-        self.pool.lent(now, OWN_REST, loan);
+        self.pool.set_loan(now, UNLENT, loan);
     }
 
     /// Another node, or this one, lends this much. A loan that was asked for in the future, or of
     /// a fleet without nodes, makes no sense and is passed over.
-    pub fn lent(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
+    pub fn on_loan(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
         if loan.asked <= now && loan.nodes_count > 0 {
-            self.pool.lent(now, lender, loan);
+            self.pool.set_loan(now, lender, loan);
         }
     }
 
@@ -74,18 +74,18 @@
     /// # Errors
     ///
     /// [`QuotaExceeded`] if there is none.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: Duration,
         workspace: &str,
         limit: QuotaLimit,
     ) -> Result<(), QuotaExceeded> {
-        self.pool.take(now, workspace, limit)
+        self.pool.try_take(now, workspace, limit)
     }
 
     /// A request for which a token was taken has not run.
-    pub fn give_back(&mut self, now: Duration, workspace: &str, limit: QuotaLimit) {
-        self.pool.give_back(now, workspace, limit);
+    pub fn return_token(&mut self, now: Duration, workspace: &str, limit: QuotaLimit) {
+        self.pool.return_token(now, workspace, limit);
     }
 
     /// Part of a workspace's quota that counts for this node now.
--- a/crates/kumquatquay-core/src/quota/pool.rs
+++ b/crates/kumquatquay-core/src/quota/pool.rs
@@ -47,7 +47,7 @@
     loans: BTreeMap<SocketAddr, (Loan, Duration)>,
     slices: [SliceShare; SLICES_COUNT],
     /// Until when the shares of the slices hold.
-    holds_until: Duration,
+    shares_until: Duration,
     advanced: Duration,
     buckets: HashMap<WorkspaceName, Bucket>,
 }
@@ -65,12 +65,12 @@
 struct Bucket {
     tokens_count: f64,
     /// The slice's sum at which it was filled last.
-    filled_sum_s: f64,
+    refilled_at_sum_s: f64,
 }
 
 impl QuotaPool {
     /// A node lends this much, in place of what it lent before.
-    pub fn lent(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
+    pub fn set_loan(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
         self.advance(now);
         let until = loan.asked + LOAN_DURATION;
         if until > now && !loan.granted.is_empty() {
@@ -78,7 +78,7 @@
         } else {
             self.loans.remove(&lender);
         }
-        self.share_out(now);
+        self.recompute_shares(now);
     }
 
     /// Takes a token for a request of a workspace.
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// [`QuotaExceeded`] if there is none.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: Duration,
         workspace: &str,
@@ -94,7 +94,7 @@
     ) -> Result<(), QuotaExceeded> {
         self.advance(now);
         let share = self.slices[slice_of(workspace)].share;
-        let bucket = self.filled(workspace, limit);
+        let bucket = self.refilled_bucket(workspace, limit);
         if bucket.tokens_count >= 1.0 - ROUNDING {
             bucket.tokens_count -= 1.0;
             return Ok(());
@@ -106,10 +106,10 @@
     }
 
     /// A request for which a token was taken has not run.
-    pub fn give_back(&mut self, now: Duration, workspace: &str, limit: QuotaLimit) {
+    pub fn return_token(&mut self, now: Duration, workspace: &str, limit: QuotaLimit) {
         self.advance(now);
         let depth_count = limit.depth_count * self.slices[slice_of(workspace)].share;
-        let bucket = self.filled(workspace, limit);
+        let bucket = self.refilled_bucket(workspace, limit);
         bucket.tokens_count = (bucket.tokens_count + 1.0).min(depth_count);
     }
 
@@ -124,7 +124,7 @@
         self.buckets.retain(|workspace, _| is_known(workspace));
     }
 
-    fn filled(&mut self, workspace: &str, limit: QuotaLimit) -> &mut Bucket {
+    fn refilled_bucket(&mut self, workspace: &str, limit: QuotaLimit) -> &mut Bucket {
         let slice = self.slices[slice_of(workspace)];
         if !self.buckets.contains_key(workspace) {
             let name = WorkspaceName::from(workspace);
@@ -132,8 +132,8 @@
         }
         let bucket = self.buckets.get_mut(workspace);
         let bucket = bucket.expect("it was put in just now");
-        let added = limit.rate_per_s * (slice.sum_s - bucket.filled_sum_s);
-        bucket.filled_sum_s = slice.sum_s;
+        let added = limit.rate_per_s * (slice.sum_s - bucket.refilled_at_sum_s);
+        bucket.refilled_at_sum_s = slice.sum_s;
         // What a smaller share holds is all that is left when loans have ended.
         let depth_count = limit.depth_count * slice.share;
         bucket.tokens_count = (bucket.tokens_count + added).min(depth_count);
@@ -143,24 +143,24 @@
     /// Lets time pass: shares hold until the first loan ends.
     fn advance(&mut self, now: Duration) {
         while self.advanced < now {
-            let until = self.holds_until.min(now).max(self.advanced);
+            let until = self.shares_until.min(now).max(self.advanced);
             let passed_s = (until - self.advanced).as_secs_f64();
             for slice in &mut self.slices {
                 slice.sum_s += slice.share * passed_s;
             }
             self.advanced = until;
-            if until < now || self.holds_until <= now {
+            if until < now || self.shares_until <= now {
                 self.loans.retain(|_, (_, end)| *end > until);
-                self.share_out(until);
+                self.recompute_shares(until);
             }
         }
     }
 
-    fn share_out(&mut self, now: Duration) {
+    fn recompute_shares(&mut self, now: Duration) {
         self.slices.iter_mut().for_each(|slice| slice.share = 0.0);
-        self.holds_until = Duration::MAX;
+        self.shares_until = Duration::MAX;
         for (loan, until) in self.loans.values().filter(|(_, until)| *until > now) {
-            self.holds_until = self.holds_until.min(*until);
+            self.shares_until = self.shares_until.min(*until);
             let owned = 1.0 / loan.nodes_count.max(1) as f64;
             for (number, slice) in self.slices.iter_mut().enumerate() {
                 slice.share += owned * part_of(loan.granted, number);
--- a/crates/kumquatquay-core/src/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/src/routed/backend_lives.rs
@@ -22,7 +22,7 @@
     /// Grows with each report of one life.
     pub sequence: u64,
     /// How much longer it is slow after its start.
-    pub cold: Duration,
+    pub warm_up_left: Duration,
 }
 
 /// Whether a backend server stays.
@@ -41,7 +41,7 @@
 pub enum ReportError {
     /// It doesn't tell the start of its life, as those before did.
     #[display("it doesn't tell when its life began, as the reports before did")]
-    StartUntold,
+    MissingStart,
 }
 
 /// The lives of the backend server of this host, and the one that counts.
@@ -53,7 +53,7 @@
 /// start, and the one that started last counts. Those that don't tell their start are
 /// ordered by their first report here. One that another has displaced doesn't come
 /// back by a report: only an answer that the backend server itself gives brings it
-/// back ([`BackendLives::on_answered_as`]).
+/// back ([`BackendLives::on_answer_from`]).
 #[derive(Debug, Default)]
 pub struct BackendLives {
     lives: HashMap<BackendLife, Life>,
@@ -79,7 +79,7 @@
     /// Why it can't be of this backend server; nothing has changed then.
     pub fn on_report(&mut self, now: Duration, report: LifeReport) -> Result<bool, ReportError> {
         if report.life.born_unix_ms.is_none() && self.last_born_unix_ms.is_some() {
-            return Err(ReportError::StartUntold);
+            return Err(ReportError::MissingStart);
         }
         self.make_room();
         let id = report.life.clone();
@@ -136,7 +136,7 @@
 
     /// The backend server answered in the name of an id; whether that changes what
     /// counts.
-    pub fn on_answered_as(&mut self, instance: &str) -> bool {
+    pub fn on_answer_from(&mut self, instance: &str) -> bool {
         let current = self.current.as_ref();
         if current.is_some_and(|current| current.life.instance == instance) {
             return false;
@@ -154,7 +154,7 @@
 
     /// Nothing listens at the backend server's address any more; whether that
     /// changes what counts. Its next report brings it back.
-    pub fn on_found_dead(&mut self) -> bool {
+    pub fn on_dead(&mut self) -> bool {
         self.leaving_since = None;
         self.current.take().is_some()
     }
--- a/crates/kumquatquay-core/src/routed/register_bootstrap.rs
+++ b/crates/kumquatquay-core/src/routed/register_bootstrap.rs
@@ -44,9 +44,9 @@
     /// It enters itself.
     Enter,
     /// It reads one page of entries, from this place on.
-    Look {
+    ReadPage {
         /// The first place on the page.
-        place: RegisterPosition,
+        from: RegisterPosition,
     },
     /// Nothing before this moment.
     Wait {
@@ -61,9 +61,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisterPageSummary {
     /// The first place that was asked for.
-    pub place: RegisterPosition,
+    pub from: RegisterPosition,
     /// Place of the last entry on it, where there is one.
-    pub last_place: Option<RegisterPosition>,
+    pub last_position: Option<RegisterPosition>,
     /// Other nodes on it.
     pub others_count: usize,
     /// Whether the register ends with it.
@@ -73,9 +73,9 @@
 impl RegisterPageSummary {
     /// Nodes in the whole register, by how close to each other those on this page lie.
     pub fn estimate_count(&self) -> usize {
-        let last_place = self.last_place.filter(|_| !self.is_last);
-        let to = last_place.unwrap_or(RegisterPosition::MAX);
-        let share = f64::from(to.saturating_sub(self.place)) / f64::from(RegisterPosition::MAX);
+        let last_position = self.last_position.filter(|_| !self.is_last);
+        let to = last_position.unwrap_or(RegisterPosition::MAX);
+        let share = f64::from(to.saturating_sub(self.from)) / f64::from(RegisterPosition::MAX);
         let nodes_count = (self.others_count + 1) as f64;
         (nodes_count / share.max(ESTIMATE_LEAST_SHARE)) as usize
     }
@@ -114,8 +114,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Enter,
-    Look {
-        place: RegisterPosition,
+    ReadPage {
+        from: RegisterPosition,
     },
     /// Those that were found are introduced to.
     Introduced {
@@ -161,13 +161,13 @@
                 self.entry = Entry::UnderWay;
                 RegisterStep::Enter
             }
-            Stage::Look { .. } if self.is_again && peers_count >= ENOUGH_COUNT => {
+            Stage::ReadPage { .. } if self.is_again && peers_count >= ENOUGH_COUNT => {
                 self.stage = Stage::Done;
                 RegisterStep::Done
             }
-            Stage::Look { place } => RegisterStep::Look { place },
+            Stage::ReadPage { from } => RegisterStep::ReadPage { from },
             Stage::Introduced { found_count } if peers_count < found_count.min(1) => {
-                self.look_elsewhere()
+                self.read_random_page()
             }
             // The first node of all finds nobody, and who comes later finds it.
             Stage::Introduced { .. } | Stage::Done => {
@@ -178,19 +178,19 @@
     }
 
     /// The store has taken the entry. If it came back meanwhile, the entry may be in what it lost.
-    pub fn entered(&mut self, now: Duration) {
+    pub fn on_entered(&mut self, now: Duration) {
         self.retry_pause = RETRY_PAUSE;
         let entry = std::mem::replace(&mut self.entry, Entry::None);
         if entry == Entry::Void {
             return;
         }
-        self.stage = Stage::Look { place: self.own };
+        self.stage = Stage::ReadPage { from: self.own };
         self.next_at = now;
     }
 
     /// The store has come back from a copy, in a fleet of so many nodes. All of them learn it
     /// within a second, so their entries are spread over time.
-    pub fn store_returned(&mut self, now: Duration, nodes_count: usize) {
+    pub fn on_store_restored(&mut self, now: Duration, nodes_count: usize) {
         let is_due = self.stage == Stage::Enter && self.entry != Entry::UnderWay;
         if self.entry == Entry::UnderWay {
             self.entry = Entry::Void;
@@ -209,35 +209,35 @@
     /// A page was read, and those on it were introduced to.
     ///
     /// One that was asked for before the store's return says nothing of the register as it is now.
-    pub fn looked(&mut self, now: Duration, look: RegisterPageSummary) {
-        if !matches!(self.stage, Stage::Look { .. }) {
+    pub fn on_page(&mut self, now: Duration, page: RegisterPageSummary) {
+        if !matches!(self.stage, Stage::ReadPage { .. }) {
             return;
         }
         self.retry_pause = RETRY_PAUSE;
-        let is_first_page = self.stage == Stage::Look { place: 0 };
-        if look.others_count < ENOUGH_COUNT && look.is_last && !is_first_page {
-            self.stage = Stage::Look { place: 0 };
+        let is_first_page = self.stage == Stage::ReadPage { from: 0 };
+        if page.others_count < ENOUGH_COUNT && page.is_last && !is_first_page {
+            self.stage = Stage::ReadPage { from: 0 };
             self.next_at = now;
             return;
         }
-        let found_count = look.others_count;
+        let found_count = page.others_count;
         self.stage = Stage::Introduced { found_count };
         self.next_at = now + self.answer_pause;
     }
 
     /// A call brought nothing: it was refused, or had no answer in time. An entry that may
     /// have been made is made again; that changes nothing.
-    pub fn failed(&mut self, now: Duration) {
+    pub fn on_failure(&mut self, now: Duration) {
         self.entry = Entry::None;
         self.next_at = now + self.retry_pause.mul_f64(self.random.random_range(0.5..1.5));
         self.retry_pause = (self.retry_pause * 2).min(RETRY_PAUSE_MOST);
     }
 
     /// All that were found may be hosts that are gone for good, so another page is read.
-    fn look_elsewhere(&mut self) -> RegisterStep {
+    fn read_random_page(&mut self) -> RegisterStep {
         self.answer_pause = (self.answer_pause * 2).min(ANSWER_PAUSE_MOST);
-        let place = self.random.random();
-        self.stage = Stage::Look { place };
-        RegisterStep::Look { place }
+        let from = self.random.random();
+        self.stage = Stage::ReadPage { from };
+        RegisterStep::ReadPage { from }
     }
 }
--- a/crates/kumquatquay-core/src/routed/request_pipeline.rs
+++ b/crates/kumquatquay-core/src/routed/request_pipeline.rs
@@ -18,12 +18,12 @@
     pub is_idempotent: bool,
     /// Whether the connection may end with its answer, so that nothing behind it counts as
     /// read.
-    pub ends_row: bool,
+    pub may_close_connection: bool,
 }
 
 impl PipelinedRequest {
-    fn lets_others_run(self) -> bool {
-        self.is_idempotent && !self.ends_row
+    fn allows_pipelining(self) -> bool {
+        self.is_idempotent && !self.may_close_connection
     }
 }
 
@@ -42,7 +42,7 @@
     /// Those behind it that were started, in their order.
     started: VecDeque<Started<T>>,
     /// Whether the one behind the last that was started waits for its turn.
-    is_held: bool,
+    is_paused: bool,
     /// Whether nothing more is started on this connection.
     is_closed: bool,
 }
@@ -60,18 +60,18 @@
             limits,
             answering: None,
             started: VecDeque::new(),
-            is_held: false,
+            is_paused: false,
             is_closed: false,
         }
     }
 
     /// Whether the request behind the last that was started is to be looked at, while
     /// answers of so many bytes wait for their turn.
-    pub fn has_room(&self, held_bytes: usize) -> bool {
+    pub fn can_read_ahead(&self, held_bytes: usize) -> bool {
         let last = self.started.back().map(|started| started.request);
         let last = last.or(self.answering);
-        last.is_some_and(PipelinedRequest::lets_others_run)
-            && !self.is_held
+        last.is_some_and(PipelinedRequest::allows_pipelining)
+            && !self.is_paused
             && !self.is_closed
             && self.started.len() < self.limits.started_count
             && held_bytes < self.limits.held_bytes
@@ -80,8 +80,8 @@
     /// Whether the request that was looked at may be started now; if not it waits for its
     /// turn, and all behind it with it.
     pub fn may_start(&mut self, request: PipelinedRequest) -> bool {
-        self.is_held |= !request.is_idempotent;
-        !self.is_held && !self.is_closed
+        self.is_paused |= !request.is_idempotent;
+        !self.is_paused && !self.is_closed
     }
 
     /// It was started; `ticket` brings its answer.
@@ -90,41 +90,41 @@
     }
 
     /// The next request waits for its turn, whatever it is.
-    pub fn hold(&mut self) {
-        self.is_held = true;
+    pub fn pause(&mut self) {
+        self.is_paused = true;
     }
 
     /// The ticket of the request that the server reaches next, if that was started.
-    pub fn front(&self) -> Option<&T> {
+    pub fn next_started(&self) -> Option<&T> {
         self.started.front().map(|started| &started.ticket)
     }
 
     /// The server has reached the next request, which was started.
-    pub fn reach_started(&mut self) -> Option<T> {
+    pub fn advance_to_started(&mut self) -> Option<T> {
         let started = self.started.pop_front()?;
         self.answering = Some(started.request);
-        self.is_held = false;
+        self.is_paused = false;
         Some(started.ticket)
     }
 
     /// The server has reached the next request, which was not started.
-    pub fn reach(&mut self, request: PipelinedRequest) {
+    pub fn advance_to(&mut self, request: PipelinedRequest) {
         self.answering = Some(request);
-        self.is_held = false;
+        self.is_paused = false;
     }
 
     /// The request that was reached is answered; whether the connection ends with that.
     ///
     /// A node that stops wants all connections to end. Where requests behind this one were
     /// started it ends with the last of them: ended here, they would have run for nothing.
-    pub fn answered(&mut self, wants_close: bool) -> bool {
+    pub fn on_answered(&mut self, wants_close: bool) -> bool {
         self.answering = None;
         self.is_closed |= wants_close;
         wants_close && self.started.is_empty()
     }
 
     /// Gives up what was started, and starts nothing more.
-    pub fn give_up(&mut self) {
+    pub fn abort(&mut self) {
         self.is_closed = true;
         self.started.clear();
     }
--- a/crates/kumquatquay-core/src/routed/retry_after.rs
+++ b/crates/kumquatquay-core/src/routed/retry_after.rs
@@ -28,19 +28,19 @@
     /// Time for which it goes on waiting, if it has said so.
     pub time_left: Option<Duration>,
     /// How long there has been no room for it.
-    pub short_for: Duration,
+    pub shortage_duration: Duration,
     /// Time after which there should be room for it, if that is known.
-    pub room_in: Option<Duration>,
+    pub room_expected_in: Option<Duration>,
 }
 
 impl RetryAfter {
     /// For a caller that wasn't refused for a shortage of which more is known.
-    pub fn soon(target_latency: Duration) -> Self {
+    pub fn without_shortage(target_latency: Duration) -> Self {
         Self {
             target_latency,
             time_left: None,
-            short_for: Duration::ZERO,
-            room_in: None,
+            shortage_duration: Duration::ZERO,
+            room_expected_in: None,
         }
     }
 
@@ -49,13 +49,15 @@
     /// It answers the pattern in which a surge lasts for many seconds and callers come back once:
     /// asked to return soon, they find the same shortage and are refused for good. So the longer
     /// the shortage has lasted, the later they are asked back, up to what they wait for at all.
-    pub fn draw(self, random: &mut impl Rng) -> Duration {
+    pub fn sample(self, random: &mut impl Rng) -> Duration {
         let soon = self
             .target_latency
             .mul_f64(random.random_range(SOON_RATIOS));
-        let over = self.short_for.mul_f64(random.random_range(LASTS_ON_RATIOS));
-        let room_in = self.room_in.unwrap_or_default();
-        let room = room_in.mul_f64(random.random_range(ROOM_RATIOS));
+        let over = self
+            .shortage_duration
+            .mul_f64(random.random_range(LASTS_ON_RATIOS));
+        let room_expected_in = self.room_expected_in.unwrap_or_default();
+        let room = room_expected_in.mul_f64(random.random_range(ROOM_RATIOS));
         let latest = self.time_left.unwrap_or_default().mul_f64(WAITS_RATIO);
         soon.max(over.max(room).min(latest))
     }
--- a/crates/kumquatquay-core/tests/quota/exploration.rs
+++ b/crates/kumquatquay-core/tests/quota/exploration.rs
@@ -209,7 +209,7 @@
                 // A keeper that was started again never asked.
                 let asked_before = loan.asked < at_ms(self.hosts[to].starts_ms);
                 if !asked_before {
-                    self.hosts[to].quotas.lent(now, node(lender), loan);
+                    self.hosts[to].quotas.on_loan(now, node(lender), loan);
                 }
             }
         }
@@ -229,7 +229,9 @@
                     (0..16).for_each(|slice| wanted.add(half, slice));
                 }
             }
-            self.hosts[keeper].quotas.use_rest(asked, Some(nodes_count));
+            self.hosts[keeper]
+                .quotas
+                .use_unlent(asked, Some(nodes_count));
             if wanted.is_empty() {
                 continue;
             }
@@ -252,7 +254,7 @@
                 continue;
             }
             let quotas = &mut self.hosts[place].quotas;
-            while quotas.take(now, "north", LIMIT).is_ok() {
+            while quotas.try_take(now, "north", LIMIT).is_ok() {
                 taken_count += 1;
             }
         }
--- a/crates/kumquatquay-core/tests/quota/keepers.rs
+++ b/crates/kumquatquay-core/tests/quota/keepers.rs
@@ -42,11 +42,11 @@
 fn each_slice_of_each_half_has_one_keeper_in_one_view() {
     for nodes_count in [1, 2, 6, 78, 300, 5_100] {
         let fleet = fleet(nodes_count);
-        let keepers = Borrowers::among("hall-a", fleet.iter());
+        let keepers = Borrowers::from_members("hall-a", fleet.iter());
         for half in 0..HALVES_COUNT {
             for slice in 0..SLICES_COUNT {
                 let kept = fleet.iter().filter(|member| {
-                    let kept = keepers.kept_by(member.control);
+                    let kept = keepers.borrowed_by(member.control);
                     kept.has(half, slice)
                 });
                 assert_eq!(kept.count(), 1, "{nodes_count} {half} {slice}");
@@ -60,19 +60,19 @@
 #[test]
 fn the_first_half_is_kept_near_and_the_second_together() {
     let fleet = fleet(78);
-    let in_a = Borrowers::among("hall-a", fleet.iter());
-    let in_b = Borrowers::among("hall-b", fleet.iter());
-    assert_ne!(in_a.keeper(0, 3), in_b.keeper(0, 3));
-    assert_eq!(in_a.keeper(1, 3), in_b.keeper(1, 3));
+    let in_a = Borrowers::from_members("hall-a", fleet.iter());
+    let in_b = Borrowers::from_members("hall-b", fleet.iter());
+    assert_ne!(in_a.borrower(0, 3), in_b.borrower(0, 3));
+    assert_eq!(in_a.borrower(1, 3), in_b.borrower(1, 3));
 }
 
 /// In a fleet of thousands no node keeps links to all others for its quotas.
 #[test]
 fn in_a_large_fleet_all_is_kept_near() {
     let fleet = fleet(5_100);
-    let in_a = Borrowers::among("hall-a", fleet.iter());
+    let in_a = Borrowers::from_members("hall-a", fleet.iter());
     let kept = fleet.iter().filter(|member| {
-        let kept = in_a.kept_by(member.control);
+        let kept = in_a.borrowed_by(member.control);
         !kept.is_empty() && member.data_centre != "hall-a"
     });
     assert_eq!(kept.count(), 0);
@@ -81,19 +81,22 @@
 #[test]
 fn a_keeper_that_is_gone_is_none() {
     let mut fleet = fleet(6);
-    let first = Borrowers::among("hall-a", fleet.iter())
-        .keeper(0, 0)
+    let first = Borrowers::from_members("hall-a", fleet.iter())
+        .borrower(0, 0)
         .unwrap();
     let gone = fleet.iter_mut().find(|member| member.peer == first);
     gone.unwrap().state = MemberState::Gone;
-    let second = Borrowers::among("hall-a", fleet.iter()).keeper(0, 0);
+    let second = Borrowers::from_members("hall-a", fleet.iter()).borrower(0, 0);
     assert!(second.is_some_and(|second| second != first));
 }
 
 #[test]
 fn nodes_that_are_far_are_asked_for_the_second_half_alone() {
-    assert_eq!(Borrowers::asked_of(SliceSets::ALL, true), SliceSets::ALL);
-    let far = Borrowers::asked_of(SliceSets::ALL, false);
+    assert_eq!(
+        Borrowers::requested_from(SliceSets::ALL, true),
+        SliceSets::ALL
+    );
+    let far = Borrowers::requested_from(SliceSets::ALL, false);
     assert_eq!(far, SliceSets::ALL.of_half(1));
 }
 
@@ -117,7 +120,7 @@
             keepers.refresh("hall-a", fleet.iter());
             assert_eq!(
                 keepers,
-                Borrowers::among("hall-a", fleet.iter()),
+                Borrowers::from_members("hall-a", fleet.iter()),
                 "{number}"
             );
         }
--- a/crates/kumquatquay-core/tests/quota/lender.rs
+++ b/crates/kumquatquay-core/tests/quota/lender.rs
@@ -16,7 +16,7 @@
     let now = at_ms(5_000);
     assert_eq!(lender.lend(now, node(1), SliceSets::ALL), SliceSets::ALL);
     assert!(lender.lend(now, node(2), SliceSets::ALL).is_empty());
-    assert!(lender.kept(now).is_empty());
+    assert!(lender.unlent(now).is_empty());
 }
 
 #[test]
@@ -41,8 +41,8 @@
     let mut lender = lender();
     let before = LOAN_DURATION - at_ms(1);
     assert!(lender.lend(before, node(1), SliceSets::ALL).is_empty());
-    assert!(lender.kept(before).is_empty());
-    assert_eq!(lender.kept(LOAN_DURATION), SliceSets::ALL);
+    assert!(lender.unlent(before).is_empty());
+    assert_eq!(lender.unlent(LOAN_DURATION), SliceSets::ALL);
 }
 
 #[test]
@@ -51,5 +51,5 @@
     let now = at_ms(5_000);
     let first_half = SliceSets::ALL.of_half(0);
     lender.lend(now, node(1), first_half);
-    assert_eq!(lender.kept(now), SliceSets::ALL.of_half(1));
+    assert_eq!(lender.unlent(now), SliceSets::ALL.of_half(1));
 }
--- a/crates/kumquatquay-core/tests/quota/pool.rs
+++ b/crates/kumquatquay-core/tests/quota/pool.rs
@@ -16,13 +16,13 @@
         asked: now,
         nodes_count: NODES_COUNT,
     };
-    pool.lent(now, node(lender), loan);
+    pool.set_loan(now, node(lender), loan);
 }
 
 /// Takes all that there is.
 fn take_all(pool: &mut QuotaPool, now: Duration) -> usize {
     (0..10_000)
-        .take_while(|_| pool.take(now, "north", LIMIT).is_ok())
+        .take_while(|_| pool.try_take(now, "north", LIMIT).is_ok())
         .count()
 }
 
@@ -80,7 +80,7 @@
         nodes_count: 1,
     };
     let late = LOAN_DURATION + at_ms(1);
-    pool.lent(late, node(1), loan);
+    pool.set_loan(late, node(1), loan);
     assert_eq!(take_all(&mut pool, late + at_ms(500)), 0);
 }
 
@@ -90,7 +90,7 @@
     lend_all(&mut pool, 0, 3_000);
     let now = at_ms(3_000);
     take_all(&mut pool, now);
-    pool.give_back(now, "north", LIMIT);
+    pool.return_token(now, "north", LIMIT);
     assert_eq!(take_all(&mut pool, now), 1);
 }
 
@@ -100,7 +100,7 @@
     lend_all(&mut pool, 0, 30_000);
     let now = at_ms(30_000);
     for _ in 0..100 {
-        pool.give_back(now, "north", LIMIT);
+        pool.return_token(now, "north", LIMIT);
     }
     assert_eq!(take_all(&mut pool, now), 60);
 }
@@ -113,7 +113,7 @@
     let mut lower = LIMIT;
     lower.depth_count = 5.0;
     let now = at_ms(30_000);
-    let taken = (0..100).filter(|_| pool.take(now, "north", lower).is_ok());
+    let taken = (0..100).filter(|_| pool.try_take(now, "north", lower).is_ok());
     assert_eq!(taken.count(), 5);
 }
 
@@ -123,7 +123,11 @@
     lend_all(&mut pool, 0, 3_000);
     let now = at_ms(3_000);
     take_all(&mut pool, now);
-    let wait = pool.take(now, "north", LIMIT).unwrap_err().wait.unwrap();
+    let wait = pool
+        .try_take(now, "north", LIMIT)
+        .unwrap_err()
+        .wait
+        .unwrap();
     assert!(wait <= at_ms(25), "{wait:?}");
     assert_eq!(take_all(&mut pool, now + wait + at_ms(1)), 1);
 }
@@ -139,7 +143,7 @@
             asked: at_ms(0),
             nodes_count: 1,
         };
-        pool.lent(at_ms(0), node(lender), loan);
+        pool.set_loan(at_ms(0), node(lender), loan);
     }
     assert_eq!(take_all(&mut pool, at_ms(500)), 20);
 }
@@ -153,6 +157,6 @@
     take_all(&mut pool, now);
     for workspace in 0..80 {
         let workspace = format!("calm-{workspace}");
-        assert!(pool.take(now, &workspace, LIMIT).is_ok(), "{workspace}");
+        assert!(pool.try_take(now, &workspace, LIMIT).is_ok(), "{workspace}");
     }
 }
--- a/crates/kumquatquay-core/tests/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_lives.rs
@@ -16,7 +16,7 @@
         slots_count: 100,
         state,
         sequence,
-        cold: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }
 }
 
@@ -62,7 +62,7 @@
         .on_report(at_ms(100), report("old", 9, LifeState::Serving))
         .unwrap();
     assert_eq!(current(&lives), Some("old"));
-    assert!(lives.on_answered_as("new"));
+    assert!(lives.on_answer_from("new"));
     assert_eq!(current(&lives), Some("new"));
     assert_eq!(
         lives.on_report(at_ms(200), report("old", 10, LifeState::Serving)),
@@ -127,7 +127,7 @@
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
         .unwrap();
-    assert!(lives.on_found_dead());
+    assert!(lives.on_dead());
     assert!(!lives.may_run(at_ms(10), None, DRAIN));
     assert_eq!(
         lives.on_report(at_ms(1_500), report("a", 2, LifeState::Serving)),
@@ -196,7 +196,7 @@
     lives
         .on_report(at_ms(0), report_of(&second, 1, LifeState::Serving))
         .unwrap();
-    lives.on_found_dead();
+    lives.on_dead();
     let late = report_of(&first, 80, LifeState::Serving);
     assert_eq!(lives.on_report(at_ms(100), late), Ok(false));
     assert!(lives.current().is_none());
@@ -217,7 +217,7 @@
     let other = report("x", 1, LifeState::Serving);
     assert_eq!(
         lives.on_report(at_ms(100), other),
-        Err(ReportError::StartUntold)
+        Err(ReportError::MissingStart)
     );
     assert_eq!(current(&lives), Some("a"));
 }
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -397,10 +397,10 @@
         let returns = RetryAfter {
             target_latency: TARGET,
             time_left: Some((sent.first_sent + 2 * TARGET).saturating_sub(now)),
-            short_for: Duration::ZERO,
-            room_in,
+            shortage_duration: Duration::ZERO,
+            room_expected_in: room_in,
         };
-        let arrives = now + returns.draw(&mut self.random);
+        let arrives = now + returns.sample(&mut self.random);
         self.retrying.push(SentRequest {
             arrives,
             is_retry: true,
--- a/crates/kumquatquay-core/tests/routed/register_course.rs
+++ b/crates/kumquatquay-core/tests/routed/register_course.rs
@@ -144,7 +144,7 @@
             .is_some()
         {
             let hosts_count = self.hosts.len();
-            self.hosts[host].course.store_returned(now, hosts_count);
+            self.hosts[host].course.on_store_restored(now, hosts_count);
             self.hosts[host].wakes = now;
         }
         if let Some(call) = self.hosts[host].call.take_if(|call| call.done <= now) {
@@ -156,7 +156,7 @@
             match step {
                 RegisterStep::Wait { until } => self.hosts[host].wakes = until,
                 RegisterStep::Done => self.hosts[host].wakes = Duration::MAX,
-                RegisterStep::Enter | RegisterStep::Look { .. } => {
+                RegisterStep::Enter | RegisterStep::ReadPage { .. } => {
                     self.calls_count += 1;
                     self.calls.push(now);
                     let done = now + at_ms(CALL_MS);
@@ -175,12 +175,12 @@
             .lost_one_of
             .is_some_and(|one_of| self.random.random_ratio(1, one_of));
         if is_lost {
-            self.hosts[host].course.failed(now);
+            self.hosts[host].course.on_failure(now);
             return;
         }
         match step {
-            RegisterStep::Enter => self.hosts[host].course.entered(now),
-            RegisterStep::Look { place } => self.look(now, host, place),
+            RegisterStep::Enter => self.hosts[host].course.on_entered(now),
+            RegisterStep::ReadPage { from: place } => self.look(now, host, place),
             RegisterStep::Wait { .. } | RegisterStep::Done => {}
         }
     }
@@ -195,8 +195,8 @@
             .collect();
         let others = page.iter().filter(|(_, found)| *found != host);
         let look = RegisterPageSummary {
-            place,
-            last_place: page.last().map(|(place, _)| *place),
+            from: place,
+            last_position: page.last().map(|(place, _)| *place),
             others_count: others.clone().count(),
             is_last,
         };
@@ -206,7 +206,7 @@
                 self.introduce(host, *found);
             }
         }
-        self.hosts[host].course.looked(now, look);
+        self.hosts[host].course.on_page(now, look);
     }
 
     fn introduce(&mut self, host: usize, other: usize) {
@@ -316,8 +316,8 @@
             .collect();
         places.sort_unstable();
         let look = RegisterPageSummary {
-            place: places[100],
-            last_place: Some(places[100 + PAGE_COUNT - 1]),
+            from: places[100],
+            last_position: Some(places[100 + PAGE_COUNT - 1]),
             others_count: PAGE_COUNT - 1,
             is_last: false,
         };
@@ -380,14 +380,17 @@
 fn an_entry_that_was_lost_before_its_answer_came_is_made_again() {
     let mut course = RegisterBootstrap::new(Duration::ZERO, address(1), 1);
     assert_eq!(course.step(at_ms(0), 0), RegisterStep::Enter);
-    course.store_returned(at_ms(3), 1);
-    course.entered(at_ms(4));
+    course.on_store_restored(at_ms(3), 1);
+    course.on_entered(at_ms(4));
     let RegisterStep::Wait { until } = course.step(at_ms(5), 0) else {
         panic!("{course:?}");
     };
     assert_eq!(course.step(until, 0), RegisterStep::Enter);
-    course.entered(until);
-    assert!(matches!(course.step(until, 0), RegisterStep::Look { .. }));
+    course.on_entered(until);
+    assert!(matches!(
+        course.step(until, 0),
+        RegisterStep::ReadPage { .. }
+    ));
 }
 
 /// A page that was asked for before the return tells nothing of the register as it is now.
@@ -395,15 +398,15 @@
 fn a_page_from_before_a_return_does_not_count() {
     let mut course = RegisterBootstrap::new(Duration::ZERO, address(1), 1);
     course.step(at_ms(0), 0);
-    course.entered(at_ms(4));
-    course.store_returned(at_ms(5), 1);
+    course.on_entered(at_ms(4));
+    course.on_store_restored(at_ms(5), 1);
     let page = RegisterPageSummary {
-        place: register_position(address(1)),
-        last_place: None,
+        from: register_position(address(1)),
+        last_position: None,
         others_count: 40,
         is_last: false,
     };
-    course.looked(at_ms(6), page);
+    course.on_page(at_ms(6), page);
     let again = course.step(at_ms(2_000), 40);
     assert_eq!(again, RegisterStep::Enter);
 }
@@ -413,13 +416,13 @@
 fn a_store_that_returns_all_the_time_is_entered_all_the_same() {
     let mut course = RegisterBootstrap::new(Duration::ZERO, address(1), 1);
     course.step(at_ms(0), 0);
-    course.entered(at_ms(4));
+    course.on_entered(at_ms(4));
     let mut entries_count = 0;
     for ms in (10..60_000).step_by(10) {
-        course.store_returned(at_ms(ms), 5_100);
+        course.on_store_restored(at_ms(ms), 5_100);
         if course.step(at_ms(ms), 5_099) == RegisterStep::Enter {
             entries_count += 1;
-            course.entered(at_ms(ms));
+            course.on_entered(at_ms(ms));
         }
     }
     assert!((5..=30).contains(&entries_count), "{entries_count}");
--- a/crates/kumquatquay-core/tests/routed/request_row.rs
+++ b/crates/kumquatquay-core/tests/routed/request_row.rs
@@ -10,24 +10,24 @@
 
 const LOOK_UP: PipelinedRequest = PipelinedRequest {
     is_idempotent: true,
-    ends_row: false,
+    may_close_connection: false,
 };
 
 const LAST_LOOK_UP: PipelinedRequest = PipelinedRequest {
     is_idempotent: true,
-    ends_row: true,
+    may_close_connection: true,
 };
 
 const FILING: PipelinedRequest = PipelinedRequest {
     is_idempotent: false,
-    ends_row: false,
+    may_close_connection: false,
 };
 
 /// Starts what may be started of the requests behind, as a connection does; how many.
 fn start_behind(row: &mut RequestPipeline<usize>, behind: &[PipelinedRequest]) -> usize {
     let mut started_count = 0;
     for request in behind {
-        if !row.has_room(0) || !row.may_start(*request) {
+        if !row.can_read_ahead(0) || !row.may_start(*request) {
             break;
         }
         row.start(*request, started_count);
@@ -42,7 +42,7 @@
             #[test]
             fn $name() {
                 let mut row = RequestPipeline::new(LIMITS);
-                row.reach($first);
+                row.advance_to($first);
                 assert_eq!(start_behind(&mut row, &$behind), $count);
             }
         )*
@@ -62,16 +62,16 @@
 #[test]
 fn nothing_is_started_before_the_first_is_reached() {
     let row = RequestPipeline::<usize>::new(LIMITS);
-    assert!(!row.has_room(0));
+    assert!(!row.can_read_ahead(0));
 }
 
 /// A caller asks for large answers and doesn't read them. What waits is bounded.
 #[test]
 fn nothing_is_started_while_too_much_is_held() {
     let mut row = RequestPipeline::<usize>::new(LIMITS);
-    row.reach(LOOK_UP);
-    assert!(row.has_room(999));
-    assert!(!row.has_room(1_000));
+    row.advance_to(LOOK_UP);
+    assert!(row.can_read_ahead(999));
+    assert!(!row.can_read_ahead(1_000));
 }
 
 /// A node stops while three requests run. Were the connection closed with the first answer,
@@ -79,15 +79,15 @@
 #[test]
 fn a_connection_ends_with_the_last_that_was_started() {
     let mut row = RequestPipeline::new(LIMITS);
-    row.reach(LOOK_UP);
+    row.advance_to(LOOK_UP);
     assert_eq!(start_behind(&mut row, &[LOOK_UP; 2]), 2);
-    assert!(!row.answered(true));
-    assert_eq!(row.reach_started(), Some(0));
+    assert!(!row.on_answered(true));
+    assert_eq!(row.advance_to_started(), Some(0));
     // Nothing is started any more.
-    assert!(!row.has_room(0));
-    assert!(!row.answered(true));
-    assert_eq!(row.reach_started(), Some(1));
-    assert!(row.answered(true));
+    assert!(!row.can_read_ahead(0));
+    assert!(!row.on_answered(true));
+    assert_eq!(row.advance_to_started(), Some(1));
+    assert!(row.on_answered(true));
 }
 
 quickcheck! {
@@ -102,15 +102,15 @@
         let mut looks = looks.into_iter().chain(std::iter::repeat(true));
         let mut started_to = 0;
         for (place, kind) in kinds.iter().enumerate() {
-            if let Some(ticket) = row.reach_started() {
+            if let Some(ticket) = row.advance_to_started() {
                 if ticket != place || !kind.is_idempotent {
                     return false;
                 }
             } else {
-                row.reach(*kind);
+                row.advance_to(*kind);
                 started_to = started_to.max(place + 1);
             }
-            while started_to < kinds.len() && looks.next() == Some(true) && row.has_room(0) {
+            while started_to < kinds.len() && looks.next() == Some(true) && row.can_read_ahead(0) {
                 if !row.may_start(kinds[started_to]) {
                     break;
                 }
@@ -119,11 +119,11 @@
             }
             let runs_alone = started_to == place + 1;
             let is_bounded = row.started_count() <= LIMITS.started_count;
-            if !is_bounded || (!kind.is_idempotent || kind.ends_row) && !runs_alone {
+            if !is_bounded || (!kind.is_idempotent || kind.may_close_connection) && !runs_alone {
                 return false;
             }
             let is_stopping = place >= usize::from(stops_at);
-            if row.answered(is_stopping) || kind.ends_row {
+            if row.on_answered(is_stopping) || kind.may_close_connection {
                 return row.started_count() == 0;
             }
         }
--- a/crates/kumquatquay-core/tests/routed/return_time.rs
+++ b/crates/kumquatquay-core/tests/routed/return_time.rs
@@ -10,13 +10,13 @@
 const REFUSED: RetryAfter = RetryAfter {
     target_latency: Duration::from_secs(2),
     time_left: Some(Duration::from_secs(6)),
-    short_for: Duration::ZERO,
-    room_in: None,
+    shortage_duration: Duration::ZERO,
+    room_expected_in: None,
 };
 
 fn drawn(refused: RetryAfter) -> Vec<Duration> {
     let mut random = StdRng::seed_from_u64(1);
-    (0..1_000).map(|_| refused.draw(&mut random)).collect()
+    (0..1_000).map(|_| refused.sample(&mut random)).collect()
 }
 
 #[test]
@@ -33,7 +33,7 @@
 fn in_a_long_shortage_they_return_as_late_as_they_wait() {
     let short_for = Duration::from_secs(20);
     let drawn = drawn(RetryAfter {
-        short_for,
+        shortage_duration: short_for,
         ..REFUSED
     });
     assert!(drawn.iter().all(|wait| *wait == Duration::from_secs(2)));
@@ -45,7 +45,7 @@
     let short_for = Duration::from_secs(20);
     let drawn = drawn(RetryAfter {
         time_left: None,
-        short_for,
+        shortage_duration: short_for,
         ..REFUSED
     });
     assert!(drawn.iter().all(|wait| *wait < at_ms(1_400)));
@@ -62,10 +62,10 @@
         let short_for = surge.mul_f64(random.random());
         for (way, known) in [Duration::ZERO, short_for].into_iter().enumerate() {
             let refused = RetryAfter {
-                short_for: known,
+                shortage_duration: known,
                 ..REFUSED
             };
-            let returns = short_for + refused.draw(&mut random);
+            let returns = short_for + refused.sample(&mut random);
             refused_again[way] += u32::from(returns < surge);
         }
     }
@@ -76,7 +76,10 @@
 #[test]
 fn who_is_asked_back_when_there_is_room_is_spread_from_then_on() {
     let room_in = Some(at_ms(900));
-    let drawn = drawn(RetryAfter { room_in, ..REFUSED });
+    let drawn = drawn(RetryAfter {
+        room_expected_in: room_in,
+        ..REFUSED
+    });
     assert!(drawn.iter().all(|wait| *wait >= at_ms(900)));
     let late = drawn.iter().filter(|wait| **wait >= at_ms(1_400)).count();
     assert!((300..700).contains(&late), "{late}");
--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -256,10 +256,10 @@
         time_left: pending
             .caller_deadline
             .map(|caller_deadline| caller_deadline.saturating_sub(now)),
-        short_for,
-        room_in,
+        shortage_duration: short_for,
+        room_expected_in: room_in,
     };
-    let wait = retry.draw(&mut *node.random.borrow_mut());
+    let wait = retry.sample(&mut *node.random.borrow_mut());
     node.metrics.count("refused", "shortage");
     if *admission_probability < shortage.admission_probability {
         node.metrics.count("refused_by_share", "asked_for_more");
--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -252,7 +252,7 @@
 
     /// Begins to pass on the request at the start of the bytes, unless its head isn't there.
     fn begin_to_pass(&self, state: &mut RowState) -> bool {
-        if let Some(started) = state.row.front() {
+        if let Some(started) = state.row.next_started() {
             let whole_bytes = started.size_bytes;
             state.started_bytes -= whole_bytes;
             state.phase = Phase::Passing {
@@ -296,7 +296,7 @@
         }
         state.phase = Phase::Blind;
         state.started_bytes = 0;
-        state.row.give_up();
+        state.row.abort();
         let caller = self
             .caller
             .map_or_else(String::new, |caller| caller.to_string());
@@ -318,7 +318,7 @@
                     state.missing = Missing::HeadEnd { seen_bytes };
                     return;
                 }
-                Framing::Unclear | Framing::Known(_) => return state.row.hold(),
+                Framing::Unclear | Framing::Known(_) => return state.row.pause(),
             };
             let whole_bytes = frame.whole_bytes() as usize;
             if behind.len() < whole_bytes {
@@ -329,7 +329,7 @@
             let request = read_whole_request(&behind[..whole_bytes], frame);
             let Some(request) = request.filter(|_| frame.head_bytes <= self.head_limit_bytes)
             else {
-                return state.row.hold();
+                return state.row.pause();
             };
             let decisive = self.row_request(request.headers(), request.uri(), frame);
             if !state.row.may_start(decisive) {
@@ -353,7 +353,7 @@
             && state.missing.may_be_there(&state.unread)
             && self.node.stop_phase() == StopPhase::Serving
             && self.node.held_answers.get().has_room_for_pipelined()
-            && state.row.has_room(self.held_bytes.get())
+            && state.row.can_read_ahead(self.held_bytes.get())
     }
 
     fn row_request(&self, headers: &HeaderMap, uri: &Uri, frame: RequestFrame) -> PipelinedRequest {
@@ -362,7 +362,7 @@
         let route = route.and_then(|table| find_route(table, headers, uri));
         PipelinedRequest {
             is_idempotent: route.is_some_and(|route| route.settings.repeat == Repeat::Idempotent),
-            ends_row: frame.ends_row,
+            may_close_connection: frame.ends_row,
         }
     }
 
@@ -386,7 +386,7 @@
             Phase::Blind => {}
         }
         state.missing = Missing::Unknown;
-        if let Some(started) = state.row.reach_started() {
+        if let Some(started) = state.row.advance_to_started() {
             return RequestSource::Started(started);
         }
         let is_whole = match state.phase {
@@ -397,8 +397,8 @@
         let has_body = state.frame.body_bytes > 0;
         let is_small = is_whole && state.frame.body_bytes <= SMALL_BODY_BYTES;
         let mut decisive = self.row_request(request.headers(), request.uri(), state.frame);
-        decisive.ends_row |= !is_small;
-        state.row.reach(decisive);
+        decisive.may_close_connection |= !is_small;
+        state.row.advance_to(decisive);
         *self.in_flight.borrow_mut() = Some(InFlightGuard::new(&self.node));
         if has_body && is_small {
             RequestSource::Whole
@@ -417,7 +417,7 @@
             _ => Phase::Blind,
         };
         let is_stopping = self.node.stop_phase() > StopPhase::Serving;
-        state.row.answered(is_stopping)
+        state.row.on_answered(is_stopping)
     }
 
     /// The bytes of the answer have left.
@@ -434,7 +434,7 @@
 
     /// The connection has ended: nothing of it goes on.
     pub(crate) fn end(&self) {
-        self.state.borrow_mut().row.give_up();
+        self.state.borrow_mut().row.abort();
         *self.in_flight.borrow_mut() = None;
         *self.writing.borrow_mut() = None;
     }
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -350,6 +350,6 @@
 
 /// When a caller should come back that wasn't refused for a shortage of which more is known.
 pub(super) fn retry_after(node: &RoutedNode, route: &RouteSettings) -> Duration {
-    let returns = RetryAfter::soon(route.target_latency);
-    returns.draw(&mut *node.random.borrow_mut())
+    let returns = RetryAfter::without_shortage(route.target_latency);
+    returns.sample(&mut *node.random.borrow_mut())
 }
--- a/crates/kumquatquayd/src/routed/initial_health_check.rs
+++ b/crates/kumquatquayd/src/routed/initial_health_check.rs
@@ -85,7 +85,7 @@
         slots_count: marks.slots_count.filter(|slots| *slots > 0)?,
         state: LifeState::Serving,
         sequence: 0,
-        cold: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     };
     Some(Found {
         report,
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -517,7 +517,7 @@
     }
     if answer.status == 421 {
         if let Some(instance) = &metadata.instance
-            && node.lives.borrow_mut().on_answered_as(instance)
+            && node.lives.borrow_mut().on_answer_from(instance)
         {
             announce_backend(node);
         }
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -40,7 +40,7 @@
         return;
     };
     let state = match current.state {
-        LifeState::Serving if current.cold.is_zero() => MemberState::Serving,
+        LifeState::Serving if current.warm_up_left.is_zero() => MemberState::Serving,
         LifeState::Serving => MemberState::Warming,
         LifeState::Draining | LifeState::Gone => MemberState::Draining,
     };
@@ -65,7 +65,7 @@
 /// Tells the membership that the backend server of this host is dead, until it
 /// reports again.
 pub(crate) fn announce_backend_death(node: &RoutedNode, why: &str) {
-    if node.lives.borrow_mut().on_found_dead() {
+    if node.lives.borrow_mut().on_dead() {
         log::warn!(event = "backend_dead"; "the backend server is taken to be dead: {why}");
         node.engine.handle(BackendInput::Died);
         withdraw_waiting(node);
@@ -162,13 +162,13 @@
                     Err(error) => on_unreached(&node, &mut course, &error),
                 }
             }
-            RegisterStep::Look { place } => {
+            RegisterStep::ReadPage { from: place } => {
                 let page = (store.register_page)(place).await;
                 look_for_return(&node, &store, &mut course);
                 match page {
                     Ok(page) => {
                         let look = introduce(&node, place, page);
-                        course.looked(node.now(), look);
+                        course.on_page(node.now(), look);
                     }
                     Err(error) => on_unreached(&node, &mut course, &error),
                 }
@@ -192,19 +192,19 @@
 fn look_for_return(node: &RoutedNode, store: &PlatformStore, course: &mut RegisterBootstrap) {
     node.on_store_eras((store.eras)());
     if node.store_restore.take() {
-        course.store_returned(node.now(), node.poller_fleet().nodes_count);
+        course.on_store_restored(node.now(), node.poller_fleet().nodes_count);
     }
 }
 
 fn on_entered(node: &RoutedNode, course: &mut RegisterBootstrap) {
-    course.entered(node.now());
+    course.on_entered(node.now());
     node.metrics.count("register", "entered");
     log::info!(event = "register_entered"; "this node stands in the register");
 }
 
 fn on_unreached(node: &RoutedNode, course: &mut RegisterBootstrap, error: &StoreError) {
     log::warn!(event = "register_unreached"; "{error}");
-    course.failed(node.now());
+    course.on_failure(node.now());
 }
 
 /// Other members that are there.
@@ -226,8 +226,8 @@
     let others = page.nodes.into_iter().filter(|control| *control != own);
     let others: Vec<SocketAddr> = others.collect();
     let look = RegisterPageSummary {
-        place,
-        last_place: page.last_position,
+        from: place,
+        last_position: page.last_position,
         others_count: others.len(),
         is_last: page.is_last,
     };
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -195,7 +195,7 @@
     let slice = slice_of(workspace);
     let quotas = node.quotas.borrow();
     let mut keepers: Vec<SocketAddr> = (0..HALVES_COUNT)
-        .filter_map(|half| quotas.keepers.keeper(half, slice))
+        .filter_map(|half| quotas.keepers.borrower(half, slice))
         .collect();
     keepers.dedup();
     keepers
@@ -260,7 +260,7 @@
         return QuotaVerdict::NotKnown;
     };
     let mut quotas = node.quotas.borrow_mut();
-    match quotas.shares.take(node.boot_time(), workspace, limit) {
+    match quotas.shares.try_take(node.boot_time(), workspace, limit) {
         Ok(()) => QuotaVerdict::Within,
         Err(over) => {
             let wait_ms = over.wait.map(|wait| wait.as_millis());
@@ -286,7 +286,9 @@
 pub(crate) fn return_local_token(node: &RoutedNode, workspace: &str) {
     if let Some(limit) = limit_of(node, workspace) {
         let mut quotas = node.quotas.borrow_mut();
-        quotas.shares.give_back(node.boot_time(), workspace, limit);
+        quotas
+            .shares
+            .return_token(node.boot_time(), workspace, limit);
     }
 }
 
@@ -323,7 +325,7 @@
 /// Takes in a loan of another node.
 pub(crate) fn on_loan(node: &RoutedNode, lender: SocketAddr, loan: Loan) {
     let mut quotas = node.quotas.borrow_mut();
-    quotas.shares.lent(node.boot_time(), lender, loan);
+    quotas.shares.on_loan(node.boot_time(), lender, loan);
 }
 
 /// Nodes among which quotas are split; `None` while that isn't known.
@@ -355,7 +357,7 @@
         if has_quotas {
             let nodes_count = nodes_count(&node);
             let mut quotas = node.quotas.borrow_mut();
-            quotas.shares.use_rest(node.boot_time(), nodes_count);
+            quotas.shares.use_unlent(node.boot_time(), nodes_count);
             drop(quotas);
             if node.is_on(Mechanism::QuotaLoans) {
                 ask_for_loans(&node);
@@ -382,7 +384,7 @@
 fn ask_for_loans(node: &Rc<RoutedNode>) {
     refresh_keepers(node);
     let own = node.settings.listen.control;
-    let wanted = node.quotas.borrow().keepers.kept_by(own);
+    let wanted = node.quotas.borrow().keepers.borrowed_by(own);
     if wanted.is_empty() {
         return;
     }
@@ -414,7 +416,7 @@
             members.filter(|member| member.state != MemberState::Gone && member.control != own);
         let asked = others.map(|member| {
             let is_near = member.data_centre == *data_centre;
-            (member.peer, Borrowers::asked_of(wanted, is_near))
+            (member.peer, Borrowers::requested_from(wanted, is_near))
         });
         asked.filter(|(_, wanted)| !wanted.is_empty()).collect()
     })
