--- a/crates/kumquatquay-core/src/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/src/routed/entry_queue.rs
@@ -1,4 +1,4 @@
-//! Holds requests at the entry that can wait until there is room for them.
+//! Queue of requests that are held at the entry until there is room for them.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,70 +10,73 @@
 
 use super::latency_estimate::LatencyEstimate;
 
-/// A request is held only if its expected wait is at most this part of the time that it can wait.
-const EXPECTED_RATIO: f64 = 0.7;
+/// Longest expected wait with which a request is held, as a ratio of the time that it can wait.
+const MAX_EXPECTED_WAIT_RATIO: f64 = 0.7;
 
-/// A held request is given up once its expected wait is this many times the time that it can
-/// still wait.
-const GIVEN_UP_RATIO: f64 = 2.5;
+/// A held request is refused once its expected wait exceeds the time that it can still wait by
+/// this factor.
+const HOPELESS_WAIT_RATIO: f64 = 2.5;
 
-/// Part of the time that a request can wait over which held ones are offered again.
-const SPREAD_RATIO: f64 = 0.5;
+/// Period in which each held request is offered again once, as a ratio of the time that a request
+/// can wait.
+const REOFFER_PERIOD_RATIO: f64 = 0.5;
 
-/// The least time that a request must be able to wait to be held. Offered anew in less time than a
-/// level takes to answer, those that are held would be let in as if there were room for them.
-const LEAST_WAIT: Duration = Duration::from_secs(2);
+/// Shortest time that a request must be able to wait to be held.
+///
+/// Requests that were offered again faster than the admission level responds to the offered load
+/// would be admitted as if there were room for them.
+const MIN_WAIT: Duration = Duration::from_secs(2);
 
-/// Requests that are held at the same time.
-const HELD_LIMIT_COUNT: usize = 512;
+/// Limit of the requests that are held at the same time.
+const MAX_HELD_COUNT: usize = 512;
 
-/// Bytes of the requests that are held at the same time.
-const HELD_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Limit of the memory that held requests take.
+const MAX_HELD_BYTES: usize = 4 * 1024 * 1024;
 
-/// Lines that are remembered.
-const LINES_LIMIT_COUNT: usize = 1_024;
+/// Limit of the flows that are tracked, and of the routes whose latency is.
+const MAX_FLOWS_COUNT: usize = 1_024;
 
-/// Time after its last request in which a line is remembered.
-const LINE_LIFETIME: Duration = Duration::from_secs(10);
+/// How long an empty flow is tracked after its last new request.
+const FLOW_TTL: Duration = Duration::from_secs(10);
 
-/// Time in which the count of arrivals halves.
+/// Half-life of the count of arrivals.
 const ARRIVALS_HALF_LIFE_S: f64 = 2.0;
 
-/// Time in which what is known of the chance falls to a third.
-const CHANCE_TIME_S: f64 = 0.5;
+/// Time constant of the moving average of the admission probability.
+const ADMISSION_PROBABILITY_TIME_S: f64 = 0.5;
 
-/// Requests that are refused and held alike: those of one rank and claimant on one route.
+/// Key of a flow: requests of one route, service, priority and claimant, which share a queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// Their route.
+    /// Route of the requests.
     pub route: String,
-    /// Service that the route sends them to.
+    /// Service to which the route sends them.
     pub service: ServiceName,
-    /// Their rank.
+    /// Priority of the root requests.
     pub priority: Priority,
-    /// Workspace that sends them; the route where there is none.
+    /// Workspace of the caller; the route if the caller belongs to none.
     pub claimant: String,
 }
 
-/// A request for which there may be no room now.
+/// A request that is offered to the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct HoldRequest<'a> {
-    /// Where it would wait.
+    /// Flow that it belongs to.
     pub flow: &'a FlowKey,
-    /// Share of the requests of its line for which there is room now.
+    /// Share of the requests of its flow for which there is room now, from 0 to 1.
     pub admission_probability: f64,
-    /// Moment until which its answer is worth most.
+    /// Time by which it should be answered for the answer to have its full value.
     pub soft_deadline: Duration,
-    /// Memory that it takes while it is held.
+    /// Memory that it takes while it is held, in bytes.
     pub held_bytes: usize,
 }
 
-/// What becomes of a request that was offered.
+/// Decision on a request that was offered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HoldDecision {
-    /// It is let in.
+    /// It is admitted.
     Admitted,
-    /// It is held until [`EntryQueue::release`] says otherwise.
+    /// It is held until [`EntryQueue::release`] returns it.
     Held(HoldKey),
     /// It is refused.
     Refused {
@@ -82,80 +85,83 @@
     },
 }
 
-/// The place of a request that is held.
+/// Key of a held request, to remove it from the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldKey {
-    line: FlowKey,
-    place: HeldPlace,
+    flow: FlowKey,
+    position: HeldPosition,
 }
 
-/// The earliest to be let in come first.
+/// Position in the queue of a flow, the earliest latest start first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct HeldPlace {
-    /// The last moment at which it can be let in and be answered in time.
-    latest: Duration,
-    number: u64,
+struct HeldPosition {
+    /// Latest time of admission with which its answer is expected before its soft deadline.
+    latest_start: Duration,
+    sequence: u64,
 }
 
-/// A request that is held no longer.
+/// A request that was released from the queue.
 #[derive(Debug, PartialEq)]
 pub struct ReleasedRequest<T> {
-    /// What was handed in with it.
+    /// Ticket that was given with the offer.
     pub ticket: T,
-    /// Why it is held no longer.
+    /// Why it was released.
     pub reason: ReleaseReason,
 }
 
-/// Why a request is held no longer.
+/// Why a request was released from the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// There is room for it.
+    /// There is room for it; it is admitted.
     RoomAvailable,
-    /// It can wait no longer. Later ones of its line are let in the fewer.
+    /// It can't wait any longer and is admitted without room. It still takes credit of its flow,
+    /// so that fewer of the later requests are admitted.
     WaitExhausted,
-    /// The room that was expected doesn't come.
+    /// The expected room didn't come; it is refused.
     NoRoom {
         /// Time after which there should be room to hold it, if that is known.
         retry_after: Option<Duration>,
     },
 }
 
-/// Requests that are held at an entry.
+/// Queue of held requests of an entry.
 ///
-/// It answers the pattern in which demand swings or surges for some seconds, and some requests
-/// have more time than they need: refused, they come back at a moment that nobody chose, and are
-/// refused again. Held, they use the room of the first calm moment.
+/// It smooths demand that swings or surges for some seconds, for requests that have more time than
+/// they need. A refused request would be retried at a random moment and often be refused again; a
+/// held one uses the first room that comes.
 ///
-/// How many are let in goes by the level of the service that is short, as if none were held: each
-/// request that is offered adds its chance to the credit of its line, and each that is let in takes
-/// one. Those that are held are offered anew, spread over the time for which they can wait. The
-/// level knows them as offered load then, and falls as it does for any other; when the shortage is
-/// over, they are let in over that time and not all at once, on all entries together.
+/// The queue doesn't change the share of requests that is admitted, which follows from the
+/// admission level of the overloaded service. Each offered request adds its admission probability
+/// to the credit of its flow, and each admitted one takes 1 of it. Held requests are offered again
+/// at intervals that spread over the time that they can wait. So they count as offered load and
+/// lower the level like any other, and after an overload they are admitted over that period on all
+/// entries instead of all at once.
 #[derive(Debug)]
 pub struct EntryQueue<T> {
-    lines: HashMap<FlowKey, Line<T>>,
-    needed: HashMap<String, LatencyEstimate>,
+    flows: HashMap<FlowKey, Flow<T>>,
+    latencies: HashMap<String, LatencyEstimate>,
     held_count: usize,
     held_bytes: usize,
-    last_number: u64,
+    last_sequence: u64,
 }
 
 #[derive(Debug)]
-struct Line<T> {
-    held: BTreeMap<HeldPlace, HeldRequest<T>>,
-    /// Requests that may still be let in; below 0 after some that could wait no longer.
+struct Flow<T> {
+    held: BTreeMap<HeldPosition, HeldRequest<T>>,
+    /// Requests that may still be admitted; negative after requests that were admitted without
+    /// room.
     credit: f64,
-    /// Share of those offered for which there is room, over the last moments.
-    chance: f64,
-    chance_at: Duration,
-    /// Arrivals, those from long ago counting less.
+    /// Moving average of the admission probability.
+    admission_probability: f64,
+    probability_updated_at: Duration,
+    /// Exponentially decaying count of new requests.
     arrivals_count: f64,
-    arrived: Duration,
-    /// Time in which all that are held are offered anew.
-    spread: Duration,
-    /// Those that are to be offered anew.
-    reoffers_count: f64,
-    reoffered: Duration,
+    last_arrival: Duration,
+    /// Period in which each held request is offered again once.
+    reoffer_period: Duration,
+    /// Requests that are due to be offered again, with fractions.
+    pending_reoffers_count: f64,
+    last_reoffer: Duration,
 }
 
 #[derive(Debug)]
@@ -167,46 +173,46 @@
 impl<T> Default for EntryQueue<T> {
     fn default() -> Self {
         Self {
-            lines: HashMap::new(),
-            needed: HashMap::new(),
+            flows: HashMap::new(),
+            latencies: HashMap::new(),
             held_count: 0,
             held_bytes: 0,
-            last_number: 0,
+            last_sequence: 0,
         }
     }
 }
 
 impl<T> EntryQueue<T> {
-    // Learning
-
-    /// A request on a route was answered, so long after it had been let in.
-    pub fn on_answer(&mut self, route: &str, took: Duration) {
-        if let Some(needed) = self.needed.get_mut(route) {
-            needed.observe(took);
-        } else if self.needed.len() < LINES_LIMIT_COUNT {
-            let needed = LatencyEstimate::first(took);
-            self.needed.insert(String::from(route), needed);
+    // Observations
+
+    /// Records the latency of an answered request on a route, from its admission on.
+    pub fn on_answer(&mut self, route: &str, latency: Duration) {
+        if let Some(latencies) = self.latencies.get_mut(route) {
+            latencies.observe(latency);
+        } else if self.latencies.len() < MAX_FLOWS_COUNT {
+            let latencies = LatencyEstimate::first(latency);
+            self.latencies.insert(String::from(route), latencies);
         }
     }
 
-    // Reading
+    // State
 
-    /// Requests that are held.
+    /// Number of held requests.
     pub fn held_count(&self) -> usize {
         self.held_count
     }
 
-    /// Bytes that they take.
+    /// Memory that held requests take, in bytes.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    // Deciding
+    // Decisions
 
-    /// Lets a request in, holds it, or refuses it.
+    /// Admits a request, holds it, or refuses it.
     ///
-    /// It is held only if it is expected to be let in well before it is too late for it, by what
-    /// is held before it and what is let in of its line.
+    /// It is held only if it is expected to be admitted well before its latest start, judged by
+    /// the requests held before it and the admission rate of its flow.
     pub fn offer(
         &mut self,
         now: Duration,
@@ -214,213 +220,238 @@
         ticket: T,
         random: &mut impl Rng,
     ) -> HoldDecision {
-        if !self.make_line(now, request, random) {
-            return by_chance(request.admission_probability, random);
+        if !self.ensure_flow(now, request, random) {
+            return admit_at_random(request.admission_probability, random);
         }
-        let latest = self.latest_start(request);
+        let latest_start = self.latest_start(request);
         let has_memory = self.has_memory(request.held_bytes);
-        let Some(line) = self.lines.get_mut(request.flow) else {
+        let Some(flow) = self.flows.get_mut(request.flow) else {
             return HoldDecision::Refused { retry_after: None };
         };
-        line.arrive(now);
-        line.earn(now, request.admission_probability);
-        let can_wait = latest.map_or(Duration::ZERO, |latest| latest.saturating_sub(now));
-        let is_holdable = has_memory && can_wait >= LEAST_WAIT;
-        let goes_first = line.held.is_empty() || !is_holdable;
-        if goes_first && line.spend() {
+        flow.on_arrival(now);
+        flow.add_credit(now, request.admission_probability);
+        let max_hold = latest_start.map_or(Duration::ZERO, |latest_start| {
+            latest_start.saturating_sub(now)
+        });
+        let is_holdable = has_memory && max_hold >= MIN_WAIT;
+        let may_skip_queue = flow.held.is_empty() || !is_holdable;
+        if may_skip_queue && flow.take_credit() {
             return HoldDecision::Admitted;
         }
-        let spread = can_wait.mul_f64(SPREAD_RATIO);
-        let expected = line.expected_wait(now, line.held.len() + 1, spread);
-        let longest = can_wait.mul_f64(EXPECTED_RATIO);
-        let fits = is_holdable && expected.is_some_and(|expected| expected <= longest);
-        let Some(latest) = latest.filter(|_| fits) else {
-            let room_in = expected.map(|expected| expected.saturating_sub(longest));
-            return HoldDecision::Refused {
-                retry_after: room_in,
-            };
+        let reoffer_period = max_hold.mul_f64(REOFFER_PERIOD_RATIO);
+        let expected_wait = flow.expected_wait(now, flow.held.len() + 1, reoffer_period);
+        let max_wait = max_hold.mul_f64(MAX_EXPECTED_WAIT_RATIO);
+        let fits =
+            is_holdable && expected_wait.is_some_and(|expected_wait| expected_wait <= max_wait);
+        let Some(latest_start) = latest_start.filter(|_| fits) else {
+            let retry_after =
+                expected_wait.map(|expected_wait| expected_wait.saturating_sub(max_wait));
+            return HoldDecision::Refused { retry_after };
         };
-        self.last_number += 1;
-        let place = HeldPlace {
-            latest,
-            number: self.last_number,
+        self.last_sequence += 1;
+        let position = HeldPosition {
+            latest_start,
+            sequence: self.last_sequence,
         };
         let held_bytes = request.held_bytes;
-        line.hold(now, place, HeldRequest { ticket, held_bytes }, spread);
+        flow.hold(
+            now,
+            position,
+            HeldRequest { ticket, held_bytes },
+            reoffer_period,
+        );
         self.held_count += 1;
         self.held_bytes += held_bytes;
-        let line = request.flow.clone();
-        HoldDecision::Held(HoldKey { line, place })
+        let flow = request.flow.clone();
+        HoldDecision::Held(HoldKey { flow, position })
     }
 
-    /// Takes out a request whose caller has left, or that was released already.
+    /// Removes a held request, for instance because its caller has disconnected; `None` if it was
+    /// released already.
     pub fn remove(&mut self, key: &HoldKey) -> Option<T> {
-        let line = self.lines.get_mut(&key.line)?;
-        let held = line.held.remove(&key.place)?;
+        let flow = self.flows.get_mut(&key.flow)?;
+        let held = flow.held.remove(&key.position)?;
         self.held_count -= 1;
         self.held_bytes -= held.held_bytes;
         Some(held.ticket)
     }
 
-    /// Takes out all that are held.
+    /// Removes all held requests.
     pub fn withdraw_all(&mut self) -> Vec<T> {
         self.held_count = 0;
         self.held_bytes = 0;
-        let lines = self.lines.values_mut();
-        let held = lines.flat_map(|line| std::mem::take(&mut line.held).into_values());
+        let flows = self.flows.values_mut();
+        let held = flows.flat_map(|flow| std::mem::take(&mut flow.held).into_values());
         held.map(|held| held.ticket).collect()
     }
 
-    /// Takes out those for which there is room, which can wait no longer, or for which no room
-    /// comes.
+    /// Releases the requests for which there is room, that can't wait any longer, or for which no
+    /// room is expected in time.
     ///
-    /// `chance` offers a request of a line anew and tells for which share there is room now.
+    /// `admission_probability` offers a request of a flow again and returns the share of its
+    /// requests for which there is room now.
     pub fn release(
         &mut self,
         now: Duration,
-        mut chance: impl FnMut(&FlowKey) -> f64,
+        mut admission_probability: impl FnMut(&FlowKey) -> f64,
     ) -> Vec<ReleasedRequest<T>> {
         let mut released = Vec::new();
-        // Lines in their order: the important are offered first.
-        let mut lines: Vec<_> = self.lines.iter_mut().collect();
-        lines.retain(|(_, line)| !line.held.is_empty());
-        lines.sort_by_key(|(key, _)| (key.priority, *key));
-        for (key, line) in lines {
-            line.offer_anew(now, || chance(key));
-            line.release(now, &mut released);
+        // The most important requests are offered first.
+        let mut flows: Vec<_> = self.flows.iter_mut().collect();
+        flows.retain(|(_, flow)| !flow.held.is_empty());
+        flows.sort_by_key(|(key, _)| (key.priority, *key));
+        for (key, flow) in flows {
+            flow.reoffer(now, || admission_probability(key));
+            flow.release(now, &mut released);
         }
         for (held, _) in &released {
             self.held_count -= 1;
             self.held_bytes -= held.held_bytes;
         }
-        let released = released.into_iter().map(|(held, outcome)| ReleasedRequest {
+        let released = released.into_iter().map(|(held, reason)| ReleasedRequest {
             ticket: held.ticket,
-            reason: outcome,
+            reason,
         });
         released.collect()
     }
 
-    /// The last moment at which a request can be let in and be answered in time; `None` if it
-    /// isn't known how long that takes.
+    /// Latest time of admission with which a request is expected to meet its soft deadline; `None`
+    /// if the latency of its route isn't known, or if it exceeds the soft deadline itself.
     fn latest_start(&self, request: &HoldRequest<'_>) -> Option<Duration> {
-        let needed = self.needed.get(&request.flow.route)?;
-        request.soft_deadline.checked_sub(needed.upper_bound())
+        let latencies = self.latencies.get(&request.flow.route)?;
+        request.soft_deadline.checked_sub(latencies.upper_bound())
     }
 
     fn has_memory(&self, bytes: usize) -> bool {
-        self.held_count < HELD_LIMIT_COUNT && self.held_bytes + bytes <= HELD_LIMIT_BYTES
+        self.held_count < MAX_HELD_COUNT && self.held_bytes + bytes <= MAX_HELD_BYTES
     }
 
-    /// Makes the line if it isn't remembered; `false` if there are too many.
-    fn make_line(
+    /// Creates the flow of a request if there is none, or replaces one that has expired; `false` if
+    /// there are too many flows.
+    fn ensure_flow(
         &mut self,
         now: Duration,
         request: &HoldRequest<'_>,
         random: &mut impl Rng,
     ) -> bool {
-        let known = self.lines.get(request.flow);
-        let is_new = known.is_none();
-        if known.is_some_and(|line| line.is_remembered(now)) {
+        let existing = self.flows.get(request.flow);
+        let is_new = existing.is_none();
+        if existing.is_some_and(|flow| flow.is_active(now)) {
             return true;
         }
-        if is_new && self.lines.len() >= LINES_LIMIT_COUNT {
-            self.lines.retain(|_, line| line.is_remembered(now));
+        if is_new && self.flows.len() >= MAX_FLOWS_COUNT {
+            self.flows.retain(|_, flow| flow.is_active(now));
         }
-        if is_new && self.lines.len() >= LINES_LIMIT_COUNT {
+        if is_new && self.flows.len() >= MAX_FLOWS_COUNT {
             return false;
         }
-        // Entries that see few requests each would otherwise all refuse their first ones.
-        let line = Line::new(now, request.admission_probability, random.random());
-        self.lines.insert(request.flow.clone(), line);
+        // The initial credit is random: with none, entries that see few requests each would all
+        // refuse their first ones.
+        let flow = Flow::new(now, request.admission_probability, random.random());
+        self.flows.insert(request.flow.clone(), flow);
         true
     }
 }
 
-/// Decides on a request whose line isn't remembered.
-fn by_chance(chance: f64, random: &mut impl Rng) -> HoldDecision {
-    if random.random::<f64>() < chance {
+/// Admits a request of a flow that isn't tracked with its admission probability.
+fn admit_at_random(admission_probability: f64, random: &mut impl Rng) -> HoldDecision {
+    if random.random::<f64>() < admission_probability {
         HoldDecision::Admitted
     } else {
         HoldDecision::Refused { retry_after: None }
     }
 }
 
-impl<T> Line<T> {
-    fn is_remembered(&self, now: Duration) -> bool {
-        !self.held.is_empty() || now < self.arrived + LINE_LIFETIME
+impl<T> Flow<T> {
+    fn is_active(&self, now: Duration) -> bool {
+        !self.held.is_empty() || now < self.last_arrival + FLOW_TTL
     }
 
-    fn new(now: Duration, chance: f64, credit: f64) -> Self {
+    fn new(now: Duration, admission_probability: f64, credit: f64) -> Self {
         Self {
             held: BTreeMap::new(),
             credit,
-            chance,
-            chance_at: now,
+            admission_probability,
+            probability_updated_at: now,
             arrivals_count: 0.0,
-            arrived: now,
-            spread: Duration::ZERO,
-            reoffers_count: 0.0,
-            reoffered: now,
+            last_arrival: now,
+            reoffer_period: Duration::ZERO,
+            pending_reoffers_count: 0.0,
+            last_reoffer: now,
         }
     }
 
-    /// A request comes that wasn't offered before.
-    fn arrive(&mut self, now: Duration) {
-        self.arrivals_count = self.arrivals_at(now) + 1.0;
-        self.arrived = now;
+    /// Counts a new request.
+    fn on_arrival(&mut self, now: Duration) {
+        self.arrivals_count = self.arrivals_count_at(now) + 1.0;
+        self.last_arrival = now;
     }
 
-    fn arrivals_at(&self, now: Duration) -> f64 {
-        let passed_s = now.saturating_sub(self.arrived).as_secs_f64();
+    fn arrivals_count_at(&self, now: Duration) -> f64 {
+        let passed_s = now.saturating_sub(self.last_arrival).as_secs_f64();
         self.arrivals_count * 0.5_f64.powf(passed_s / ARRIVALS_HALF_LIFE_S)
     }
 
-    /// A request is offered, for the first time or anew.
-    fn earn(&mut self, now: Duration, chance: f64) {
-        self.credit += chance;
-        let passed_s = now.saturating_sub(self.chance_at).as_secs_f64();
-        let weight = 1.0 - (-passed_s / CHANCE_TIME_S).exp();
-        self.chance += weight * (chance - self.chance);
-        self.chance_at = now;
+    /// Adds the credit of a request that is offered, for the first time or again.
+    fn add_credit(&mut self, now: Duration, admission_probability: f64) {
+        self.credit += admission_probability;
+        let passed_s = now
+            .saturating_sub(self.probability_updated_at)
+            .as_secs_f64();
+        let weight = 1.0 - (-passed_s / ADMISSION_PROBABILITY_TIME_S).exp();
+        self.admission_probability += weight * (admission_probability - self.admission_probability);
+        self.probability_updated_at = now;
     }
 
-    /// Whether one more may be let in, which takes its part of the credit.
-    fn spend(&mut self) -> bool {
-        let can_spend = self.credit >= 1.0;
-        if can_spend {
+    /// Takes the credit for one request; `false` if there isn't enough.
+    fn take_credit(&mut self) -> bool {
+        let has_credit = self.credit >= 1.0;
+        if has_credit {
             self.credit -= 1.0;
         }
-        can_spend
+        has_credit
     }
 
-    /// Time after which the request at a place in the line, counted from 1, is let in; `None` if
-    /// none is.
-    fn expected_wait(&self, now: Duration, place: usize, spread: Duration) -> Option<Duration> {
-        let arrivals_per_s = self.arrivals_at(now) * std::f64::consts::LN_2 / ARRIVALS_HALF_LIFE_S;
-        let reoffers_per_s = place as f64 / spread.as_secs_f64().max(1e-3);
-        let let_in_per_s = self.chance * (arrivals_per_s + reoffers_per_s);
-        let lacking = (place as f64 - self.credit).max(0.0);
-        Duration::try_from_secs_f64(lacking / let_in_per_s).ok()
+    /// Expected time until the request at this position of the queue, counted from 1, is admitted;
+    /// `None` if it is never.
+    fn expected_wait(
+        &self,
+        now: Duration,
+        position: usize,
+        reoffer_period: Duration,
+    ) -> Option<Duration> {
+        let arrivals_per_s =
+            self.arrivals_count_at(now) * std::f64::consts::LN_2 / ARRIVALS_HALF_LIFE_S;
+        let reoffers_per_s = position as f64 / reoffer_period.as_secs_f64().max(1e-3);
+        let admissions_per_s = self.admission_probability * (arrivals_per_s + reoffers_per_s);
+        let missing_credit = (position as f64 - self.credit).max(0.0);
+        Duration::try_from_secs_f64(missing_credit / admissions_per_s).ok()
     }
 
-    fn hold(&mut self, now: Duration, place: HeldPlace, request: HeldRequest<T>, spread: Duration) {
+    fn hold(
+        &mut self,
+        now: Duration,
+        position: HeldPosition,
+        request: HeldRequest<T>,
+        reoffer_period: Duration,
+    ) {
         if self.held.is_empty() {
-            self.reoffers_count = 0.0;
-            self.reoffered = now;
+            self.pending_reoffers_count = 0.0;
+            self.last_reoffer = now;
         }
-        self.spread = spread;
-        self.held.insert(place, request);
+        self.reoffer_period = reoffer_period;
+        self.held.insert(position, request);
     }
 
-    /// Offers as many of those that are held anew as the time since the last time asks for.
-    fn offer_anew(&mut self, now: Duration, mut chance: impl FnMut() -> f64) {
-        let passed_s = now.saturating_sub(self.reoffered).as_secs_f64();
-        let part = passed_s / self.spread.as_secs_f64().max(1e-3);
-        self.reoffered = now;
-        self.reoffers_count += part.min(1.0) * self.held.len() as f64;
-        while self.reoffers_count >= 1.0 {
-            self.reoffers_count -= 1.0;
-            self.earn(now, chance());
+    /// Offers as many held requests again as are due since the last time.
+    fn reoffer(&mut self, now: Duration, mut admission_probability: impl FnMut() -> f64) {
+        let passed_s = now.saturating_sub(self.last_reoffer).as_secs_f64();
+        let due_ratio = passed_s / self.reoffer_period.as_secs_f64().max(1e-3);
+        self.last_reoffer = now;
+        self.pending_reoffers_count += due_ratio.min(1.0) * self.held.len() as f64;
+        while self.pending_reoffers_count >= 1.0 {
+            self.pending_reoffers_count -= 1.0;
+            self.add_credit(now, admission_probability());
         }
     }
 
@@ -432,34 +463,31 @@
             released.push((held, ReleaseReason::RoomAvailable));
         }
         if self.held.is_empty() {
-            // What nobody could use is no room for those who come later.
+            // Unused credit doesn't accumulate for later requests.
             self.credit = self.credit.min(1.0);
         }
         while let Some(first) = self.held.first_entry()
-            && first.key().latest <= now
+            && first.key().latest_start <= now
         {
             self.credit -= 1.0;
             released.push((first.remove(), ReleaseReason::WaitExhausted));
         }
-        while let Some(room_in) = self.is_hopeless(now)
+        while let Some(retry_after) = self.check_hopeless(now)
             && let Some((_, held)) = self.held.pop_last()
         {
-            released.push((
-                held,
-                ReleaseReason::NoRoom {
-                    retry_after: room_in,
-                },
-            ));
+            released.push((held, ReleaseReason::NoRoom { retry_after }));
         }
     }
 
-    /// Whether the last one will find no room; then when there should be some, if it is known.
-    fn is_hopeless(&self, now: Duration) -> Option<Option<Duration>> {
+    /// Returns `Some` if the last request of the queue isn't expected to find room in time, with
+    /// the time after which there should be room if that is known.
+    fn check_hopeless(&self, now: Duration) -> Option<Option<Duration>> {
         let (last, _) = self.held.last_key_value()?;
-        let can_wait = last.latest.saturating_sub(now);
-        let expected = self.expected_wait(now, self.held.len(), self.spread);
-        let longest = can_wait.mul_f64(GIVEN_UP_RATIO);
-        let is_hopeless = expected.is_none_or(|expected| expected > longest);
-        is_hopeless.then(|| expected.map(|expected| expected.saturating_sub(can_wait)))
+        let max_hold = last.latest_start.saturating_sub(now);
+        let expected_wait = self.expected_wait(now, self.held.len(), self.reoffer_period);
+        let max_wait = max_hold.mul_f64(HOPELESS_WAIT_RATIO);
+        let is_hopeless = expected_wait.is_none_or(|expected_wait| expected_wait > max_wait);
+        is_hopeless
+            .then(|| expected_wait.map(|expected_wait| expected_wait.saturating_sub(max_hold)))
     }
 }
