--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -1,4 +1,4 @@
-//! Decides at the entry which whole requests are let in.
+//! Admission control of root requests at the entry.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,118 +14,117 @@
 use super::{
     offered_load::OfferedLoad,
     pooled_news::{PooledNews, makes_sense},
-    service_levels::{LAPSE, ServiceLevels},
+    service_levels::{LEVEL_EXPIRY, ServiceLevels},
 };
 
-/// Calls at a service by one request from which on its level counts for a route.
-const CALLS_LEAST_COUNT: f32 = 0.2;
+/// Mean calls per request at a service below which the level of the service doesn't apply to a
+/// route.
+const MIN_CALLS_COUNT: f32 = 0.2;
 
-/// Part of the load that must be less important than a request for these to be refused in its
-/// place.
-const BEHIND_LEAST_RATIO: f64 = 0.05;
+/// Share of the load that must be less important than a request for the held level to apply to it.
+const MIN_LOWER_LOAD_RATIO: f64 = 0.05;
 
-/// Services and routes that are remembered, of each.
-const LIMIT_COUNT: usize = 1_024;
+/// Limit of the services that are tracked, and of the routes.
+const MAX_TRACKED_COUNT: usize = 1_024;
 
-/// Time to run a call that is assumed where no gate has told.
-const FIRST_WORK_S: f64 = 0.05;
+/// Run time that is assumed for a call until a gate reports one.
+const DEFAULT_RUN_TIME_S: f64 = 0.05;
 
-/// What a node knows of the pressure on services and of where routes lead.
+/// Admission control of root requests, by the levels of the services that they reach.
 ///
-/// A level is the share of the load offered to a service that it has room for. All
-/// entries order requests alike, by the priority of their route and then by a place
-/// of their own, and let in those that lie below the level. So a service that is
-/// short of room is felt by the last in that order first, wherever they come in,
-/// and those that are let in find room at each service on their way.
+/// A level is the share of the load offered to a service for which it has room. All entries
+/// order requests in the same way, by their priority and then by a tie breaker of their own, and
+/// admit those below the level. So an overloaded service refuses the least important requests
+/// first, at whatever entry they arrive, and admitted requests find room at each service that
+/// they reach.
 #[derive(Debug, Default)]
 pub struct EntryAdmission {
     services: HashMap<ServiceName, ServiceLevels>,
-    /// By route, and by the service that told it: a route may be split.
-    routes: HashMap<String, RouteLevels>,
+    /// By name of the route.
+    routes: HashMap<String, RouteState>,
 }
 
-/// Time for which the calls of one request keep slots of a service busy.
+/// Work that one request causes at a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceWork {
     /// The service.
     pub service: ServiceName,
-    /// Slot time of all its calls there.
+    /// Time for which all of its calls occupy slots of the service.
     pub work: Duration,
 }
 
 #[derive(Debug, Default)]
-struct RouteLevels {
+struct RouteState {
+    /// By the service whose gates reported it, as a route may be split among services.
     known: BTreeMap<ServiceName, PooledNews>,
     offered: OfferedLoad,
 }
 
-/// A request that asks to be let in.
+/// A request at the entry.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryRequest<'a> {
     /// Its route.
     pub route: &'a str,
-    /// Service that the route sends it to.
+    /// Service to which the route sends it.
     pub service: &'a str,
-    /// Rank of the whole request.
+    /// Priority of the root request.
     pub priority: Priority,
-    /// Its own place among requests of the same rank, from 0 to 1; the higher ones
-    /// are refused first.
+    /// Order among requests of the same priority, from 0 to 1; the higher are refused first.
     pub tie_breaker: f64,
 }
 
-/// Why a request is not let in.
+/// Why a request is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortage {
-    /// The service that is short of room.
+    /// The overloaded service.
     pub service: ServiceName,
     /// Its level, from 0 to 1.
     pub level: f64,
-    /// How old it is.
+    /// Age of the level.
     pub age: Duration,
-    /// Share of the requests of the same rank that are let in.
+    /// Share of the requests of the same priority that are admitted.
     pub admission_probability: f64,
-    /// How long the service has been short.
+    /// How long the service has been overloaded.
     pub duration: Duration,
 }
 
-/// Where a request stands among all that lead to a service: shares of the offered
-/// load.
+/// Offered load of a service by its importance relative to a request, as shares from 0 to 1.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
-    /// What is more important.
-    before: f64,
-    /// What has the same rank.
-    beside: f64,
+struct LoadOrder {
+    /// Share of the more important load.
+    higher_ratio: f64,
+    /// Share of the load of the same priority.
+    same_ratio: f64,
 }
 
 impl EntryAdmission {
-    // Learning
+    // Observations
 
-    /// Takes in what a gate of a service tells.
+    /// Records the report of a gate of a service.
     pub fn on_gate(&mut self, now: Duration, service: &str, gate: SocketAddr, report: &GateReport) {
         if let Some(known) = self.service_mut(service) {
             known.on_gate(now, gate, report);
         }
     }
 
-    /// Takes in what another node knows of a service.
+    /// Records the level of a service that another node reports.
     pub fn on_pressure(&mut self, now: Duration, pressure: &ServicePressure) {
         if let Some(known) = self.service_mut(&pressure.service) {
             known.on_pressure(now, pressure);
         }
     }
 
-    /// A service, unless too many are known.
+    /// Levels of a service; `None` if it is new and too many are tracked.
     fn service_mut(&mut self, service: &str) -> Option<&mut ServiceLevels> {
-        if !self.services.contains_key(service) && self.services.len() < LIMIT_COUNT {
+        if !self.services.contains_key(service) && self.services.len() < MAX_TRACKED_COUNT {
             let service = ServiceName::from(service);
             self.services.insert(service, ServiceLevels::default());
         }
         self.services.get_mut(service)
     }
 
-    /// Takes in what a gate knows of a route at its service; whether it makes sense. What
-    /// doesn't is passed over.
+    /// Records what a gate has learnt of a route at its service; `false` if the update is
+    /// implausible, in which case it is ignored.
     pub fn on_route_update(
         &mut self,
         now: Duration,
@@ -134,10 +133,10 @@
         gate: SocketAddr,
         news: RouteNews,
     ) -> bool {
-        if !makes_sense(&news, |service| self.told_work_s(now, service)) {
+        if !makes_sense(&news, |service| self.reported_run_time_s(now, service)) {
             return false;
         }
-        if !self.routes.contains_key(route) && self.routes.len() >= LIMIT_COUNT {
+        if !self.routes.contains_key(route) && self.routes.len() >= MAX_TRACKED_COUNT {
             return true;
         }
         let known = &mut self.routes.entry(String::from(route)).or_default().known;
@@ -146,22 +145,22 @@
         true
     }
 
-    // Reading
+    // State
 
-    /// Whether outside callers use a route; `None` while nothing is known.
+    /// Whether a route is used by callers from outside; `None` if nothing is known of it.
     pub fn is_from_outside(&self, now: Duration, route: &str) -> Option<bool> {
         let mut known = self.known(now, route).peekable();
         known.peek()?;
         Some(known.any(|(_, news)| news.is_from_outside))
     }
 
-    /// What one run of a route at a service asks of each service, its own run included.
+    /// Calls that one run of a route at a service causes at each service, its own run included.
     pub fn demands(&self, now: Duration, route: &str, service: &str) -> &[ServiceDemand] {
         self.known_at(now, route, service)
             .map_or(&[], |news| &news.leads_to)
     }
 
-    /// [`leads_to`](Self::leads_to), over the services that a route is split among.
+    /// Mean of [`demands`](Self::demands) over the services among which a route is split.
     pub fn all_demands(&self, now: Duration, route: &str) -> Vec<ServiceDemand> {
         let known: Vec<&RouteNews> = self.known(now, route).map(|(_, news)| news).collect();
         let share = 1.0 / known.len().max(1) as f32;
@@ -169,8 +168,8 @@
         all.map(|demand| demand.scaled(share)).collect()
     }
 
-    /// Slot time that one request of a route takes at each service that it reaches; empty while
-    /// nothing is known of the route.
+    /// Work that one request of a route causes at each service that it reaches; empty if nothing
+    /// is known of the route.
     pub fn work_by_service(&self, now: Duration, route: &str, service: &str) -> Vec<ServiceWork> {
         let reached = self.demands(now, route, service).iter();
         let works = reached.map(|demand| ServiceWork {
@@ -180,58 +179,58 @@
         works.collect()
     }
 
-    /// Slot time that a demand takes, in seconds; where the time of its calls isn't known, they
-    /// are taken to be like the others of their service.
+    /// Work of a demand, in seconds; if it isn't known, from the mean run time of calls at its
+    /// service.
     fn work_s(&self, now: Duration, demand: &ServiceDemand) -> f64 {
         if demand.work_us > 0 {
             return f64::from(demand.work_us) / 1e6;
         }
-        let mean_s = self.told_work_s(now, &demand.service);
-        f64::from(demand.calls) * mean_s.unwrap_or(FIRST_WORK_S)
+        let mean_s = self.reported_run_time_s(now, &demand.service);
+        f64::from(demand.calls) * mean_s.unwrap_or(DEFAULT_RUN_TIME_S)
     }
 
-    /// Mean time that a call takes at a service, in seconds, if its gates have told it.
-    fn told_work_s(&self, now: Duration, service: &str) -> Option<f64> {
-        self.services.get(service)?.work_s(now)
+    /// Mean run time of a call at a service, in seconds, if its gates have reported it.
+    fn reported_run_time_s(&self, now: Duration, service: &str) -> Option<f64> {
+        self.services.get(service)?.mean_run_time_s(now)
     }
 
-    /// Level of a service as this node knows it, with the age of the newest word.
+    /// Level of a service as this node knows it, with the age of the newest report.
     pub fn level(&self, now: Duration, service: &str) -> Option<(f64, Duration)> {
-        let told = self.services.get(service)?.told(now)?;
-        Some((told.at(now), now.saturating_sub(told.told)))
+        let report = self.services.get(service)?.current(now)?;
+        Some((report.level_at(now), now.saturating_sub(report.reported_at)))
     }
 
-    /// What to tell others of the services that a route leads to.
+    /// Levels of these services to report to other nodes; expired ones are left out.
     pub fn pressures(&self, now: Duration, leads_to: &[ServiceDemand]) -> Vec<ServicePressure> {
         let known = leads_to.iter().filter_map(|demand| {
             let service = &demand.service;
-            let told = self.services.get(service)?.told(now)?;
-            let age = now.saturating_sub(told.told);
-            (age < LAPSE).then(|| ServicePressure {
+            let report = self.services.get(service)?.current(now)?;
+            let age = now.saturating_sub(report.reported_at);
+            (age < LEVEL_EXPIRY).then(|| ServicePressure {
                 service: service.clone(),
-                level: told.level as f32,
+                level: report.level as f32,
                 age_ms: age.as_millis() as u32,
             })
         });
         known.collect()
     }
 
-    // Deciding
+    // Decisions
 
-    /// Lets a request in, or says which service has no room for it.
+    /// Admits a request, or returns the service that has no room for it.
     ///
-    /// `ranks` tells the ranks of all routes, for requests that have none of their own. A request that a backend server
-    /// makes is part of a whole one that was let in, and is never refused here; so
-    /// is one of which nothing is known yet.
+    /// `route_priorities` holds the priorities of all routes, for requests without one of their own. Calls of
+    /// backend servers belong to root requests that were admitted already, and are never refused
+    /// here. Requests on routes of which nothing is known are admitted too.
     ///
     /// # Errors
     ///
-    /// The service that is short of room.
+    /// The overloaded service.
     pub fn admit(
         &mut self,
         now: Duration,
         request: &EntryRequest<'_>,
-        ranks: &BTreeMap<String, Priority>,
+        route_priorities: &BTreeMap<String, Priority>,
     ) -> Result<(), Shortage> {
         let Some(route) = self.routes.get_mut(request.route) else {
             return Ok(());
@@ -242,9 +241,9 @@
             return Ok(());
         };
         let reached = news.leads_to.iter();
-        let reached = reached.filter(|demand| demand.calls >= CALLS_LEAST_COUNT);
+        let reached = reached.filter(|demand| demand.calls >= MIN_CALLS_COUNT);
         for demand in reached {
-            self.admit_at(now, &demand.service, request, ranks)?;
+            self.admit_at(now, &demand.service, request, route_priorities)?;
         }
         Ok(())
     }
@@ -254,42 +253,42 @@
         now: Duration,
         service: &str,
         request: &EntryRequest<'_>,
-        ranks: &BTreeMap<String, Priority>,
+        route_priorities: &BTreeMap<String, Priority>,
     ) -> Result<(), Shortage> {
         let (Some(known), Some((level, age))) =
             (self.services.get(service), self.level(now, service))
         else {
             return Ok(());
         };
-        let lasts = known.short_for(now, level);
+        let duration = known.shortage_duration(now, level);
         let held_level = known.held_level(now, level);
         if level >= 1.0 {
             return Ok(());
         }
-        let standing = self.standing(now, service, request, ranks);
-        let has_others_behind = standing.behind() >= BEHIND_LEAST_RATIO;
-        let level = if has_others_behind { held_level } else { level };
-        standing
+        let load_order = self.load_order(now, service, request, route_priorities);
+        let has_lower_load = load_order.lower_ratio() >= MIN_LOWER_LOAD_RATIO;
+        let level = if has_lower_load { held_level } else { level };
+        load_order
             .admit(request.tie_breaker, level)
-            .map_err(|chance| Shortage {
+            .map_err(|admission_probability| Shortage {
                 service: ServiceName::from(service),
                 level,
                 age,
-                admission_probability: chance,
-                duration: lasts,
+                admission_probability,
+                duration,
             })
     }
 
-    fn standing(
+    fn load_order(
         &self,
         now: Duration,
         service: &str,
         request: &EntryRequest<'_>,
-        ranks: &BTreeMap<String, Priority>,
-    ) -> Standing {
-        let (mut before, mut beside, mut all) = (0.0, 0.0, 0.0);
+        route_priorities: &BTreeMap<String, Priority>,
+    ) -> LoadOrder {
+        let (mut higher, mut same, mut all) = (0.0, 0.0, 0.0);
         for (route, levels) in &self.routes {
-            let Some(priority) = ranks.get(route).copied() else {
+            let Some(priority) = route_priorities.get(route).copied() else {
                 continue;
             };
             let work_s = self.request_work_s(now, levels, service);
@@ -297,27 +296,27 @@
                 let load = work_s * offered.requests_count;
                 all += load;
                 if offered.rank < request.priority {
-                    before += load;
+                    higher += load;
                 } else if offered.rank == request.priority {
-                    beside += load;
+                    same += load;
                 }
             }
         }
-        if beside <= 0.0 {
-            // Nothing is known of the load: it stands alone.
-            return Standing {
-                before: 0.0,
-                beside: 1.0,
+        if same <= 0.0 {
+            // No load of this priority is known: the request counts as all of the load.
+            return LoadOrder {
+                higher_ratio: 0.0,
+                same_ratio: 1.0,
             };
         }
-        Standing {
-            before: before / all,
-            beside: beside / all,
+        LoadOrder {
+            higher_ratio: higher / all,
+            same_ratio: same / all,
         }
     }
 
-    /// Slot time that a request of a route takes at a service, in seconds.
-    fn request_work_s(&self, now: Duration, route: &RouteLevels, service: &str) -> f64 {
+    /// Work that a request of a route causes at a service, in seconds.
+    fn request_work_s(&self, now: Duration, route: &RouteState, service: &str) -> f64 {
         let known = route.known.values().filter_map(|known| known.get(now));
         let outside = known.filter(|news| news.is_from_outside);
         let reached = outside.flat_map(|news| &news.leads_to);
@@ -340,18 +339,18 @@
     }
 }
 
-impl Standing {
-    /// What is less important.
-    fn behind(self) -> f64 {
-        1.0 - self.before - self.beside
+impl LoadOrder {
+    /// Share of the less important load.
+    fn lower_ratio(self) -> f64 {
+        1.0 - self.higher_ratio - self.same_ratio
     }
 
-    /// Lets a request at this place among those of its rank in, or tells the share of its rank
-    /// that is let in.
-    fn admit(self, place: f64, level: f64) -> Result<(), f64> {
-        if self.before + self.beside * place < level {
+    /// Admits a request with this tie breaker, or returns the share of the requests of its
+    /// priority that is admitted.
+    fn admit(self, tie_breaker: f64, level: f64) -> Result<(), f64> {
+        if self.higher_ratio + self.same_ratio * tie_breaker < level {
             return Ok(());
         }
-        Err(((level - self.before) / self.beside).clamp(0.0, 1.0))
+        Err(((level - self.higher_ratio) / self.same_ratio).clamp(0.0, 1.0))
     }
 }
--- a/crates/kumquatquay-core/src/routed/service_levels.rs
+++ b/crates/kumquatquay-core/src/routed/service_levels.rs
@@ -1,171 +1,185 @@
-//! What a node knows of the pressure on one service.
+//! Admission level of one service, from the reports of its gates and of other nodes.
 
 use std::{cell::Cell, collections::HashMap, net::SocketAddr, time::Duration};
 
 use kumquatquay_wire::routed::{GateReport, ServicePressure};
 
-/// Time for which a level counts as it was told.
-const FRESH: Duration = Duration::from_millis(600);
+/// Age up to which a reported level counts in full.
+const FULL_WEIGHT_AGE: Duration = Duration::from_millis(600);
 
-/// Time after which a level that was not told again counts no more; in between it
-/// fades. A gate that nobody reaches any more must not shut requests out.
-pub(super) const LAPSE: Duration = Duration::from_millis(2_000);
+/// Age at which a reported level expires.
+///
+/// From [`FULL_WEIGHT_AGE`] on it rises linearly towards 1: a gate that nobody reaches any more
+/// must not cause refusals.
+pub(super) const LEVEL_EXPIRY: Duration = Duration::from_millis(2_000);
 
-/// Level below which a service counts as short; above it the noise of a gate's level
-/// would count as the end of a shortage.
-const SHORT_LEVEL: f64 = 0.97;
+/// Level below which a service has a shortage.
+///
+/// With a threshold closer to 1 the noise of the gates' levels would end shortages.
+const SHORTAGE_LEVEL: f64 = 0.97;
 
-/// Time in which the level for requests that are not of the lowest rank falls to a third of a
-/// step down, in seconds.
-const HELD_S: f64 = 1.0;
+/// Time constant with which the held level follows a drop of the level.
+const HELD_LEVEL_TIME_S: f64 = 1.0;
 
-/// Levels of a service: of its gates that this node calls, and what others heard.
+/// Levels of a service, as reported by the gates that this node calls and by other nodes.
 #[derive(Debug, Default)]
 pub(super) struct ServiceLevels {
-    gates: HashMap<SocketAddr, Told>,
-    heard: Option<Told>,
-    /// Since when the service is short without a break, as this entry has seen it.
-    short_since: Cell<Option<Duration>>,
-    /// A level that falls slowly, and when it was that.
-    held: Cell<Option<(f64, Duration)>>,
+    gates: HashMap<SocketAddr, LevelReport>,
+    peer_report: Option<LevelReport>,
+    /// Begin of the current shortage, as seen by this entry.
+    shortage_since: Cell<Option<Duration>>,
+    /// The held level, and when it was updated.
+    held_level: Cell<Option<(f64, Duration)>>,
 }
 
-/// What was told of a gate, or of a service.
+/// Reported level of a gate or of a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Told {
-    /// Share of the offered load that there is room for.
+pub(super) struct LevelReport {
+    /// Share of the offered load for which there is room.
     pub(super) level: f64,
-    /// Calls a second that the gate can run.
+    /// Calls per second that it can run.
     capacity_per_s: f64,
-    /// Mean time that it takes to run a call, in seconds; 0 while it isn't known.
-    pub(super) work_s: f64,
-    /// Whether its backend server advertises a rate limit.
-    is_limited: bool,
-    /// When it was told.
-    pub(super) told: Duration,
+    /// Mean run time of a call, in seconds; 0 if it isn't known.
+    pub(super) run_time_s: f64,
+    /// Whether the backend server advertises a rate limit; of a service, whether all do.
+    is_rate_limited: bool,
+    /// When it was reported.
+    pub(super) reported_at: Duration,
 }
 
 impl ServiceLevels {
-    /// Takes in what a gate tells.
+    /// Records the report of a gate.
     pub(super) fn on_gate(&mut self, now: Duration, gate: SocketAddr, report: &GateReport) {
-        let told = Told {
+        let level_report = LevelReport {
             level: report.level(),
             capacity_per_s: self.capacity_per_s(report),
-            work_s: report.work().as_secs_f64(),
-            is_limited: report.rate.is_some(),
-            told: now,
+            run_time_s: report.work().as_secs_f64(),
+            is_rate_limited: report.rate.is_some(),
+            reported_at: now,
         };
-        self.gates.insert(gate, told);
-        self.gates.retain(|_, gate| now < gate.told + LAPSE);
+        self.gates.insert(gate, level_report);
+        self.gates
+            .retain(|_, gate| now < gate.reported_at + LEVEL_EXPIRY);
     }
 
-    /// Calls a second that a gate can run; one that has run none yet is taken to be like
-    /// the others of its service.
+    /// Calls per second that a gate can run.
+    ///
+    /// A gate that has run no call yet is assumed to have the capacity of the weakest other gate of
+    /// its service, and at most its concurrency limit.
     fn capacity_per_s(&self, report: &GateReport) -> f64 {
-        let work_s = report.work().as_secs_f64();
-        let by_slots = if work_s > 0.0 {
-            f64::from(report.limit_count) / work_s
+        let run_time_s = report.work().as_secs_f64();
+        let by_slots = if run_time_s > 0.0 {
+            f64::from(report.limit_count) / run_time_s
         } else {
-            let known = self.gates.values().map(|gate| gate.capacity_per_s);
-            known.fold(f64::from(report.limit_count), f64::min)
+            let capacities_per_s = self.gates.values().map(|gate| gate.capacity_per_s);
+            capacities_per_s.fold(f64::from(report.limit_count), f64::min)
         };
         let by_rate = report.rate.map(|rate| rate.limit_per_s());
         by_rate.map_or(by_slots, |by_rate| by_slots.min(by_rate))
     }
 
-    /// Takes in what another node knows.
+    /// Records the level that another node reports, if it is newer than the last such report.
     pub(super) fn on_pressure(&mut self, now: Duration, pressure: &ServicePressure) {
-        let told = now.saturating_sub(Duration::from_millis(u64::from(pressure.age_ms)));
-        if self.heard.is_none_or(|heard| told > heard.told) {
-            self.heard = Some(Told {
+        let reported_at = now.saturating_sub(Duration::from_millis(u64::from(pressure.age_ms)));
+        if self
+            .peer_report
+            .is_none_or(|peer_report| reported_at > peer_report.reported_at)
+        {
+            self.peer_report = Some(LevelReport {
                 level: f64::from(pressure.level),
                 capacity_per_s: 0.0,
-                work_s: 0.0,
-                is_limited: false,
-                told,
+                run_time_s: 0.0,
+                is_rate_limited: false,
+                reported_at,
             });
         }
     }
 
-    /// The mean over the gates, by what they can run; else what others heard.
+    /// Mean level of the gates, weighted by their capacity; without any, the level that other nodes
+    /// reported.
     ///
-    /// What a gate refuses for a rate limit goes to the others, whose levels tell whether there is
-    /// room for it. Counted beside theirs, its low level would refuse requests that they have
-    /// room for; it counts where all gates have limits.
-    pub(super) fn told(&self, now: Duration) -> Option<Told> {
-        let is_fresh = |gate: &&Told| now < gate.told + LAPSE;
+    /// Gates with a rate limit count only if all gates have one. What they refuse goes to the other
+    /// gates, whose levels show whether there is room for it; the low level of the limited ones
+    /// would refuse requests for which the others have room.
+    pub(super) fn current(&self, now: Duration) -> Option<LevelReport> {
+        let is_fresh = |gate: &&LevelReport| now < gate.reported_at + LEVEL_EXPIRY;
         let mut fresh = self.gates.values().filter(is_fresh);
-        let has_unlimited = fresh.any(|gate| !gate.is_limited);
+        let has_unlimited = fresh.any(|gate| !gate.is_rate_limited);
         let fresh = self.gates.values().filter(is_fresh);
-        let fresh = fresh.filter(|gate| !has_unlimited || !gate.is_limited);
-        let (mut level, mut capacity_per_s, mut newest) = (0.0, 0.0, Duration::ZERO);
-        // A gate that has run no call tells no time.
-        let (mut timed_per_s, mut busy_count) = (0.0, 0.0);
+        let fresh = fresh.filter(|gate| !has_unlimited || !gate.is_rate_limited);
+        let (mut level, mut capacity_per_s, mut last_reported) = (0.0, 0.0, Duration::ZERO);
+        // Gates that have run no call report no run time.
+        let (mut timed_capacity_per_s, mut busy_slots) = (0.0, 0.0);
         for gate in fresh {
             let weight = gate.capacity_per_s.max(1.0);
-            level += weight * gate.at(now);
+            level += weight * gate.level_at(now);
             capacity_per_s += weight;
-            if gate.work_s > 0.0 {
-                timed_per_s += weight;
-                busy_count += weight * gate.work_s;
+            if gate.run_time_s > 0.0 {
+                timed_capacity_per_s += weight;
+                busy_slots += weight * gate.run_time_s;
             }
-            newest = newest.max(gate.told);
+            last_reported = last_reported.max(gate.reported_at);
         }
         if capacity_per_s == 0.0 {
-            return self.heard;
+            return self.peer_report;
         }
-        Some(Told {
+        Some(LevelReport {
             level: level / capacity_per_s,
             capacity_per_s,
-            work_s: if timed_per_s > 0.0 {
-                busy_count / timed_per_s
+            run_time_s: if timed_capacity_per_s > 0.0 {
+                busy_slots / timed_capacity_per_s
             } else {
                 0.0
             },
-            is_limited: !has_unlimited,
-            told: newest,
+            is_rate_limited: !has_unlimited,
+            reported_at: last_reported,
         })
     }
 
-    /// Mean time of a call, in seconds, if a gate has told it.
-    pub(super) fn work_s(&self, now: Duration) -> Option<f64> {
-        let told = self.told(now)?;
-        (told.work_s > 0.0).then_some(told.work_s)
+    /// Mean run time of a call, in seconds, if a gate has reported it.
+    pub(super) fn mean_run_time_s(&self, now: Duration) -> Option<f64> {
+        let current = self.current(now)?;
+        (current.run_time_s > 0.0).then_some(current.run_time_s)
     }
 
-    /// The level that counts for requests that are not of the lowest rank: it falls slowly.
+    /// The held level, which rises with `level` at once and falls slowly towards it.
     ///
-    /// A level swings around what there is room for. Where it dips below the share of the more
-    /// important for some tenths of a second, these would be refused beside less important
-    /// ones that were let in a moment before, and are again a moment later. So the least important
-    /// take the swings; a shortage that lasts reaches the others a second later.
+    /// It applies to all but the least important requests. A level oscillates around the available
+    /// room. When it drops for some tenths of a second below the share of the more important
+    /// requests, some of them would be refused while less important ones are admitted just before
+    /// and after. So the oscillation is left to the least important requests, and a lasting
+    /// shortage reaches the others about a second later.
     pub(super) fn held_level(&self, now: Duration, level: f64) -> f64 {
-        let held = self.held.get().map_or(level, |(held, at)| {
-            let passed_s = now.saturating_sub(at).as_secs_f64();
-            level + (held - level) * (-passed_s / HELD_S).exp()
-        });
-        let held = held.max(level);
-        self.held.set(Some((held, now)));
-        held
+        let held_level = self
+            .held_level
+            .get()
+            .map_or(level, |(held_level, updated)| {
+                let passed_s = now.saturating_sub(updated).as_secs_f64();
+                level + (held_level - level) * (-passed_s / HELD_LEVEL_TIME_S).exp()
+            });
+        let held_level = held_level.max(level);
+        self.held_level.set(Some((held_level, now)));
+        held_level
     }
 
-    /// How long a service that has this level now has been short.
-    pub(super) fn short_for(&self, now: Duration, level: f64) -> Duration {
-        let is_short = level < SHORT_LEVEL;
-        let since = is_short.then(|| self.short_since.get().unwrap_or(now));
-        self.short_since.set(since);
+    /// How long the shortage of the service has lasted, if it has this level now.
+    pub(super) fn shortage_duration(&self, now: Duration, level: f64) -> Duration {
+        let is_short = level < SHORTAGE_LEVEL;
+        let since = is_short.then(|| self.shortage_since.get().unwrap_or(now));
+        self.shortage_since.set(since);
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 }
 
-impl Told {
-    /// The level, faded if it is old.
-    pub(super) fn at(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.told);
-        if age <= FRESH {
+impl LevelReport {
+    /// The level at this time; it rises to 1 as the report expires.
+    pub(super) fn level_at(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.reported_at);
+        if age <= FULL_WEIGHT_AGE {
             return self.level;
         }
-        let faded = (age - FRESH).as_secs_f64() / (LAPSE - FRESH).as_secs_f64();
-        self.level + (1.0 - self.level) * faded.min(1.0)
+        let faded_ratio =
+            (age - FULL_WEIGHT_AGE).as_secs_f64() / (LEVEL_EXPIRY - FULL_WEIGHT_AGE).as_secs_f64();
+        self.level + (1.0 - self.level) * faded_ratio.min(1.0)
     }
 }
