--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -12,7 +12,7 @@
     caller_identity::IdentityRefusal,
     entry::retry_after,
     forwarding::OutgoingCall,
-    held_requests::{HoldResult, flow_key_of, hold},
+    held_requests::{HoldResult, flow_key, hold},
     http_io::{BufferedBody, local_answer},
     node::{RoutedNode, StopPhase},
     request_log::log_request,
@@ -93,9 +93,9 @@
 impl PendingRequest<'_> {
     /// Time by which the answer should be there: the target latency of the route, or the deadline
     /// if that is earlier.
-    pub(super) fn due(&self) -> Duration {
-        let due = self.began + self.call.route.settings.target_latency;
-        due.min(self.call.deadline)
+    pub(super) fn soft_deadline(&self) -> Duration {
+        let soft_deadline = self.began + self.call.route.settings.target_latency;
+        soft_deadline.min(self.call.deadline)
     }
 }
 
@@ -112,7 +112,7 @@
         };
         return Admission::Refused(refuse(node, pending, &claimant_shortage, None));
     }
-    let flow = flow_key_of(pending.call);
+    let flow = flow_key(pending.call);
     let claimant_shortage = ClaimantShortage::of(node, &flow, shortage);
     if may_hold(node) {
         return hold_or_refuse(node, pending, &flow, &claimant_shortage).await;
@@ -266,8 +266,8 @@
     }
     if node.metrics.take_log_permit(now) {
         let why = format!(
-            "{} has capacity for {:.2} of its load (reported {} ms ago, short for {} ms); admitted: \
-             {:.2} of this priority, {admission_probability:.2} of this workspace or route",
+            "{} has capacity for {:.2} of its load (reported {} ms ago, short for {} ms); \
+             admitted: {:.2} of this priority, {admission_probability:.2} of this workspace or route",
             shortage.service,
             shortage.level,
             shortage.age.as_millis(),
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -1,4 +1,4 @@
-//! The entry listener: calls of callers and of the backend server on this host.
+//! Serves the entry listener: requests of callers and calls of the backend server on this host.
 
 use std::{cell::Cell, rc::Rc, sync::Arc, time::Duration};
 
@@ -28,17 +28,16 @@
     },
 };
 
-/// Time after which a caller is asked to come back while no configuration is known, or none that
-/// is proved to be the newest.
+/// Retry-After while no configuration is known, or none that is proved to be the newest.
 const NOT_CONFIGURED_RETRY: Duration = Duration::from_millis(300);
 
-/// The longest body that is copied out of the buffer in which it came.
-const COPIED_BODY_BYTES: usize = 4 * 1024;
+/// Size up to which a body is copied out of its receive buffer.
+const COPIED_BODY_LIMIT_BYTES: usize = 4 * 1024;
 
-/// The body of a caller's request: one that comes, or one that is there.
+/// The body of a caller's request: still being received, or already in memory.
 pub(crate) type CallerBody = Either<Incoming, BufferedBody>;
 
-/// Serves one request of a caller.
+/// Serves one request: admits it, forwards it and returns the response.
 pub(crate) async fn serve_entry(
     node: Rc<RoutedNode>,
     request: Request<CallerBody>,
@@ -46,37 +45,45 @@
     let node = &node;
     let began = node.now();
     let (mut parts, body) = request.into_parts();
-    let marks = (node.dialect.read_request)(&parts.headers);
-    let identified = match identify(node, &parts, marks.key).await {
+    let metadata = (node.dialect.read_request)(&parts.headers);
+    let identified = match identify(node, &parts, metadata.key).await {
         Ok(identified) => identified,
-        Err(refusal) => return refuse_unidentified(node, &marks, refusal),
+        Err(refusal) => return refuse_unidentified(node, &metadata, refusal),
     };
     let table = Arc::clone(&identified.table);
     let route = Arc::clone(&identified.route);
-    if is_too_late(node, &route) {
+    if is_refused_for_shutdown(node, &route) {
         node.metrics.count("refused", "stopping");
         let retry = Some(retry_after(node, &route.settings));
-        return local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "this node stops\n");
+        return local_answer(
+            StatusCode::SERVICE_UNAVAILABLE,
+            retry,
+            "this node is shutting down\n",
+        );
     }
     if table.workspaces().require_keys() {
-        // Backend servers and other nodes must not come to know the key.
+        // Backend servers and other nodes must not see the key.
         (node.dialect.remove_caller_identity)(&mut parts.headers);
     }
     let body = match read_body(body, table.limits().body_limit_bytes).await {
         Ok(body) => body,
         Err(status) => {
             node.metrics.count("refused", "body");
-            return local_answer(status, None, "the body is too long or broken\n");
+            return local_answer(
+                status,
+                None,
+                "the request body is too large or incomplete\n",
+            );
         }
     };
     let token = match &identified.workspace {
         None => None,
         Some(workspace) => {
-            let patience = node.startup_wait(&route.settings);
-            match take_token(node, workspace, patience).await {
+            let max_wait = node.startup_wait(&route.settings);
+            match take_token(node, workspace, max_wait).await {
                 Ok(token) => token,
                 Err(refusal) => {
-                    return refuse_over_quota(node, &marks, &route, workspace, refusal);
+                    return refuse_over_quota(node, &metadata, &route, workspace, refusal);
                 }
             }
         }
@@ -84,38 +91,38 @@
     let token = UnspentToken::new(node, token);
     let request = ReadRequest {
         parts,
-        marks,
+        metadata,
         body,
         began,
     };
-    let call = match enter(node, &request, identified).await {
+    let call = match admit_request(node, &request, identified).await {
         Entered::Admitted(call) => call,
         Entered::Refused(refusal) => return refusal,
     };
-    // The HTTP library reads on in the buffer in which its fields lie.
+    // Its headers share the receive buffer, which the HTTP library reuses once they are dropped.
     drop(request);
     let token = token.spend();
-    let let_in = node.now();
+    let admitted_at = node.now();
     let wait = call.deadline.saturating_sub(node.now());
-    let carried = tokio::time::timeout(wait, forward(node, &call)).await;
-    if carried.as_ref().is_ok_and(LinkAnswer::is_success) {
-        let took = node.now().saturating_sub(let_in);
+    let forwarded = tokio::time::timeout(wait, forward(node, &call)).await;
+    if forwarded.as_ref().is_ok_and(LinkAnswer::is_success) {
+        let took = node.now().saturating_sub(admitted_at);
         let mut held = node.held_requests.borrow_mut();
         held.on_answer(&call.route.settings.name, took);
     } else {
         count_failed_call(node, &call);
     }
-    let carried = match carried {
+    let forwarded = match forwarded {
         Err(_) if !call.may_have_run.get() => Ok(LinkAnswer::not_run(NotRunReason::Late)),
-        carried => carried,
+        forwarded => forwarded,
     };
-    match carried {
+    match forwarded {
         Ok(answer) => {
             let has_not_run = matches!(answer.outcome, LinkOutcome::NotRun(_));
             if let Some(token) = token.filter(|_| has_not_run) {
                 return_token(node, token);
             }
-            answer_carried(node, &call, answer, began)
+            build_response(node, &call, answer, began)
         }
         Err(_) => {
             node.metrics.count("failed", "deadline");
@@ -125,11 +132,11 @@
     }
 }
 
-/// Whether this node is about to end and takes no new requests.
+/// Whether this node takes no new requests since it is shutting down.
 ///
-/// One that is taken in the last moment of the grace is cut off when it ends. Calls
-/// that backend servers make belong to requests that are under way.
-fn is_too_late(node: &RoutedNode, route: &RouteEntry) -> bool {
+/// A request accepted at the end of the grace period would be cut off when the node exits. Calls of
+/// the backend server are accepted until the last phase: they belong to requests in progress.
+fn is_refused_for_shutdown(node: &RoutedNode, route: &RouteEntry) -> bool {
     if node.stop_phase() == StopPhase::Ending {
         return true;
     }
@@ -142,23 +149,23 @@
     node.stop_phase() == StopPhase::Closing && !is_called
 }
 
-/// Answers a request of which it isn't known whose it is, or for which there is no route.
+/// Refuses a request whose caller or route is not identified.
 fn refuse_unidentified(
     node: &RoutedNode,
-    marks: &RequestMetadata,
+    metadata: &RequestMetadata,
     refusal: IdentityRefusal,
 ) -> Response<BufferedBody> {
     node.metrics.count("refused", refusal.name());
-    log_unidentified(node, marks, refusal);
+    log_unidentified(node, metadata, refusal);
     let may_return = refusal.status() == StatusCode::SERVICE_UNAVAILABLE;
     let retry = may_return.then_some(NOT_CONFIGURED_RETRY);
     local_answer(refusal.status(), retry, refusal.text())
 }
 
-/// Answers a request that is beyond the quota of its workspace.
+/// Refuses a request that exceeds the quota of its workspace.
 fn refuse_over_quota(
     node: &RoutedNode,
-    marks: &RequestMetadata,
+    metadata: &RequestMetadata,
     route: &RouteEntry,
     workspace: &WorkspaceSettings,
     refusal: QuotaRefusal,
@@ -168,22 +175,22 @@
         QuotaRefusal::NoKeeper => (StatusCode::SERVICE_UNAVAILABLE, "no_keeper"),
     };
     node.metrics.count("refused", why);
-    log_over_quota(node, marks, route, workspace, why, refusal);
+    log_over_quota(node, metadata, route, workspace, why, refusal);
     let wait = match refusal {
         QuotaRefusal::Over { wait_ms, .. } => wait_ms.map(u64::from).map(Duration::from_millis),
         QuotaRefusal::NoKeeper => None,
     };
-    // Tokens that come sooner are taken by requests that come sooner.
+    // Tokens that become available earlier are used up by requests that arrive earlier.
     let retry = retry_after(node, &route.settings).max(wait.unwrap_or_default());
     local_answer(
         status,
         Some(retry),
-        "the quota of the workspace is used up\n",
+        "the quota of the workspace is exceeded\n",
     )
 }
 
-/// A call that the backend server of this host made has failed: the run that made it
-/// will end without its other calls.
+/// Counts a failed call of the backend server of this host. The run that made it is expected to
+/// fail as well and to make no further calls.
 fn count_failed_call(node: &RoutedNode, call: &OutgoingCall) {
     let now = node.now();
     let name = &call.route.settings.name;
@@ -197,34 +204,35 @@
     }
 }
 
-/// A request as it was read.
+/// A request that was received completely.
 struct ReadRequest {
     parts: Parts,
-    marks: RequestMetadata,
+    metadata: RequestMetadata,
     body: Bytes,
     began: Duration,
 }
 
-/// What became of a request that was read.
+/// Result of the admission of a received request.
 enum Entered {
     Admitted(OutgoingCall),
     Refused(Response<BufferedBody>),
 }
 
-/// Lets a request in, or refuses it; if another configuration comes into force meanwhile, by that.
-async fn enter(
+/// Admits or refuses a request. If another configuration comes into force meanwhile, it is
+/// identified and checked again by the new one.
+async fn admit_request(
     node: &Rc<RoutedNode>,
     request: &ReadRequest,
     mut identified: Identified,
 ) -> Entered {
     loop {
-        let Some(call) = call_of(request, identified) else {
+        let Some(call) = build_call(request, identified) else {
             node.metrics.count("refused", "no_destination");
             let retry = Some(NOT_CONFIGURED_RETRY);
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return Entered::Refused(local_answer(status, retry, "no destination\n"));
         };
-        let time_left = request.marks.time_left;
+        let time_left = request.metadata.time_left;
         let pending = PendingRequest {
             call: &call,
             began: request.began,
@@ -235,10 +243,11 @@
             Admission::Refused(refusal) => return Entered::Refused(refusal),
             Admission::ConfigurationChanged => {}
         }
-        identified = match identify_without_waiting(node, &request.parts, request.marks.key) {
+        identified = match identify_without_waiting(node, &request.parts, request.metadata.key) {
             Ok(identified) => identified,
             Err(refusal) => {
-                // It was allowed when it came. Its caller finds out when it comes back.
+                // The request was allowed when it arrived, so it gets a temporary refusal. A retry
+                // gets the final one.
                 node.metrics.count("refused", refusal.name());
                 let refusal = refuse_temporarily(node, &call, refusal.text());
                 return Entered::Refused(refusal);
@@ -247,8 +256,8 @@
     }
 }
 
-/// The call that a request is for; `None` if its route leads nowhere.
-fn call_of(request: &ReadRequest, identified: Identified) -> Option<OutgoingCall> {
+/// Builds the call for a request; `None` if its route has no destination.
+fn build_call(request: &ReadRequest, identified: Identified) -> Option<OutgoingCall> {
     let Identified {
         table,
         route,
@@ -256,7 +265,7 @@
     } = identified;
     let service = route.split.next().cloned()?;
     let parts = &request.parts;
-    let marks = &request.marks;
+    let metadata = &request.metadata;
     let caller = parts
         .extensions
         .get::<CallerAddress>()
@@ -267,10 +276,10 @@
         version: table.version(),
         request_priority: Cell::new(request_priority(&route.settings, workspace.as_deref())),
         workspace,
-        deadline: deadline_of(&route, marks, request.began),
-        attempt: marks.attempt_id.clone().unwrap_or_default(),
+        deadline: deadline_of(&route, metadata, request.began),
+        attempt_id: metadata.attempt_id.clone().unwrap_or_default(),
         method: String::from(parts.method.as_str()),
-        target: target_of(parts),
+        target: request_target(parts),
         payload: Payload {
             fields: fields_from_headers(&parts.headers),
             body: request.body.clone(),
@@ -281,35 +290,36 @@
     })
 }
 
-fn target_of(parts: &Parts) -> String {
+fn request_target(parts: &Parts) -> String {
     let target = parts.uri.path_and_query();
     target.map_or_else(|| String::from("/"), ToString::to_string)
 }
 
-/// The moment at which the caller has its answer or is told that there is none.
-fn deadline_of(route: &RouteEntry, marks: &RequestMetadata, began: Duration) -> Duration {
+/// Time by which the caller gets a response: the earlier of its own deadline and the timeout of
+/// the route.
+fn deadline_of(route: &RouteEntry, metadata: &RequestMetadata, began: Duration) -> Duration {
     let timeout = route.settings.timeout;
-    began + marks.time_left.map_or(timeout, |left| left.min(timeout))
+    began + metadata.time_left.map_or(timeout, |left| left.min(timeout))
 }
 
 async fn read_body(body: CallerBody, limit_bytes: usize) -> Result<Bytes, StatusCode> {
     match Limited::new(body, limit_bytes).collect().await {
-        Ok(body) => Ok(apart(body.to_bytes())),
+        Ok(body) => Ok(detach(body.to_bytes())),
         Err(error) if error.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Err(_) => Err(StatusCode::BAD_REQUEST),
     }
 }
 
-/// A short body is copied, so that the buffer in which it came is free again; a connection would
-/// take another one for as long as the call lasts.
-fn apart(body: Bytes) -> Bytes {
-    if body.len() > COPIED_BODY_BYTES {
+/// Copies a short body out of its receive buffer, so that the connection can reuse the buffer.
+/// Otherwise it would allocate another one for the duration of the call.
+fn detach(body: Bytes) -> Bytes {
+    if body.len() > COPIED_BODY_LIMIT_BYTES {
         return body;
     }
     Bytes::copy_from_slice(&body)
 }
 
-fn answer_carried(
+fn build_response(
     node: &RoutedNode,
     call: &OutgoingCall,
     answer: LinkAnswer,
@@ -332,7 +342,11 @@
             node.metrics.count("refused", not_run_label(*reason));
             log_request_end(node, call, &answer, "refused", began);
             let retry = Some(retry_after(node, &call.route.settings));
-            local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "no room\n")
+            local_answer(
+                StatusCode::SERVICE_UNAVAILABLE,
+                retry,
+                "no backend server could take the request\n",
+            )
         }
         LinkOutcome::Unknown(UnknownReason::NoAnswer) => {
             node.metrics
@@ -343,12 +357,16 @@
         LinkOutcome::Unknown(reason) => {
             node.metrics.count("failed", unknown_label(*reason));
             log_request_end(node, call, &answer, "failed", began);
-            local_answer(StatusCode::BAD_GATEWAY, None, "no whole answer\n")
+            local_answer(
+                StatusCode::BAD_GATEWAY,
+                None,
+                "no complete answer from the backend server\n",
+            )
         }
     }
 }
 
-/// When a caller should come back that wasn't refused for a shortage of which more is known.
+/// Retry-After for a refusal that isn't due to a known shortage.
 pub(super) fn retry_after(node: &RoutedNode, route: &RouteSettings) -> Duration {
     let returns = RetryAfter::without_shortage(route.target_latency);
     returns.sample(&mut *node.random.borrow_mut())
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -49,7 +49,7 @@
     /// Priority of the root request that it belongs to. It is the call's own priority until the
     /// run that made the call is known.
     pub(crate) request_priority: Cell<Priority>,
-    pub(crate) attempt: String,
+    pub(crate) attempt_id: String,
     pub(crate) deadline: Duration,
     pub(crate) method: String,
     pub(crate) target: String,
@@ -489,7 +489,7 @@
             .workspace
             .as_ref()
             .map(|workspace| workspace.name.as_str()),
-        attempt: &call.attempt,
+        attempt: &call.attempt_id,
         priority: call.priority(),
         whole_priority: call.request_priority.get(),
         target_latency_ms: settings.target_latency.as_millis() as u64,
--- a/crates/kumquatquayd/src/routed/held_requests.rs
+++ b/crates/kumquatquayd/src/routed/held_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are held at the entry until there is room for them.
+//! Requests that are held at the entry until there is capacity for them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,36 +15,36 @@
     node::{RoutedNode, StopPhase},
 };
 
-/// How often it is looked whether held requests can be let in.
+/// Interval at which held requests are checked for release.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Memory that a held request takes beside its body and its fields.
-const HELD_LEAST_BYTES: usize = 1_024;
+/// Memory that a held request takes beside its body, headers and target.
+const HELD_OVERHEAD_BYTES: usize = 1_024;
 
-/// Tells a held request why it is held no longer.
-type HoldTicket = oneshot::Sender<HoldResult>;
+/// Sends a held request the result.
+type HoldSender = oneshot::Sender<HoldResult>;
 
-/// Requests that this node holds.
-pub(super) type HeldRequests = EntryQueue<HoldTicket>;
+/// The requests held by this node.
+pub(super) type HeldRequests = EntryQueue<HoldSender>;
 
-/// Why a request is held no longer.
+/// Result of holding a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HoldResult {
-    /// It is let in.
+    /// The request is admitted.
     Admitted,
-    /// There is no room, and none is expected in time.
+    /// There is no capacity, and none is expected in time.
     NoRoom {
-        /// Time after which there should be room to hold it, if that is known.
+        /// Time after which there should be room to hold the request, if known.
         room_in: Option<Duration>,
     },
-    /// The node stops.
+    /// The node is shutting down.
     Stopping,
     /// Another configuration came into force.
     ConfigurationChanged,
 }
 
 impl HoldResult {
-    /// What counters and log lines call it.
+    /// Name in counters and log lines.
     fn name(self) -> &'static str {
         match self {
             Self::Admitted => "let_in",
@@ -55,11 +55,11 @@
     }
 }
 
-/// A place among held requests, which is left when its caller leaves.
+/// Removes a held request when its caller disconnects, that is, when its task is dropped.
 struct HeldGuard<'a> {
     node: &'a RoutedNode,
     key: HoldKey,
-    /// Whether the request was told why it is held no longer.
+    /// Whether the request has its result.
     has_ended: bool,
 }
 
@@ -68,14 +68,14 @@
         if self.has_ended {
             return;
         }
-        // It isn't there any more if it was let in as its caller left.
+        // There is nothing to remove if the request was released at the same moment.
         self.node.held_requests.borrow_mut().remove(&self.key);
         self.node.metrics.count("held", "caller_left");
     }
 }
 
-/// The line in which a request waits.
-pub(super) fn flow_key_of(call: &OutgoingCall) -> FlowKey {
+/// The flow of a request.
+pub(super) fn flow_key(call: &OutgoingCall) -> FlowKey {
     let route = &call.route.settings.name;
     let workspace = call.workspace.as_ref();
     FlowKey {
@@ -86,25 +86,25 @@
     }
 }
 
-/// Lets a request in, holds it until something comes of it, or refuses it.
+/// Admits or refuses a request, after holding it if its admission is worth waiting for.
 pub(super) async fn hold(
     node: &RoutedNode,
     pending: &PendingRequest<'_>,
-    line: &FlowKey,
-    short: &ClaimantShortage,
+    flow: &FlowKey,
+    claimant_shortage: &ClaimantShortage,
 ) -> HoldResult {
     let request = HoldRequest {
-        flow: line,
-        admission_probability: short.admission_probability,
-        soft_deadline: pending.due(),
+        flow,
+        admission_probability: claimant_shortage.admission_probability,
+        soft_deadline: pending.soft_deadline(),
         held_bytes: held_bytes(pending.call),
     };
-    let (ticket, released) = oneshot::channel();
+    let (sender, released) = oneshot::channel();
     let began = node.now();
     let offer = {
         let mut random = node.random.borrow_mut();
         let mut held = node.held_requests.borrow_mut();
-        held.offer(began, &request, ticket, &mut *random)
+        held.offer(began, &request, sender, &mut *random)
     };
     let key = match offer {
         HoldDecision::Admitted => return HoldResult::Admitted,
@@ -114,24 +114,24 @@
         HoldDecision::Held(key) => key,
     };
     node.request_held.notify_one();
-    let mut place = HeldGuard {
+    let mut guard = HeldGuard {
         node,
         key,
         has_ended: false,
     };
-    // The task that lets requests in ends with the node only.
+    // The releasing task drops a sender only when the node exits.
     let end = released.await.unwrap_or(HoldResult::Stopping);
-    place.has_ended = true;
-    note_end(node, pending, &short.shortage, began, end);
+    guard.has_ended = true;
+    record_end(node, pending, &claimant_shortage.shortage, began, end);
     end
 }
 
 fn held_bytes(call: &OutgoingCall) -> usize {
     let fields_bytes = call.payload.fields.as_bytes().len();
-    HELD_LEAST_BYTES + call.payload.body.len() + fields_bytes + call.target.len()
+    HELD_OVERHEAD_BYTES + call.payload.body.len() + fields_bytes + call.target.len()
 }
 
-fn note_end(
+fn record_end(
     node: &RoutedNode,
     pending: &PendingRequest<'_>,
     shortage: &Shortage,
@@ -147,21 +147,21 @@
     let workspace = call.workspace.as_ref();
     log::info!(
         event = "request_held",
-        request = call.attempt.as_str(),
+        request = call.attempt_id.as_str(),
         route = call.route.settings.name.as_str(),
         workspace = workspace.map_or("", |workspace| workspace.name.as_str()),
         rank = call.request_priority.get(),
         short_service = shortage.service.as_str(),
         level = shortage.level,
         held_ms = now.saturating_sub(began).as_millis() as u64,
-        left_ms = pending.due().saturating_sub(now).as_millis() as u64,
+        left_ms = pending.soft_deadline().saturating_sub(now).as_millis() as u64,
         outcome = end.name();
-        "a request is held no longer"
+        "released a held request"
     );
 }
 
-/// Lets held requests in as room comes, and sends all back when the node stops or another
-/// configuration comes into force.
+/// Releases held requests as capacity becomes available, and all of them when the node shuts down
+/// or another configuration comes into force.
 pub(crate) async fn release_held(node: Rc<RoutedNode>) {
     let mut version = node.route_version();
     loop {
@@ -171,20 +171,20 @@
         tokio::time::sleep(RELEASE_INTERVAL).await;
         let in_force = node.route_version();
         if node.stop_phase() > StopPhase::Serving {
-            send_all_back(&node, HoldResult::Stopping);
+            release_all(&node, HoldResult::Stopping);
         } else if std::mem::replace(&mut version, in_force) != in_force {
-            send_all_back(&node, HoldResult::ConfigurationChanged);
+            release_all(&node, HoldResult::ConfigurationChanged);
         } else {
             release(&node);
         }
     }
 }
 
-fn send_all_back(node: &RoutedNode, end: HoldResult) {
-    let tickets = node.held_requests.borrow_mut().withdraw_all();
-    for ticket in tickets {
-        // Nobody waits for it if the caller has left in this moment.
-        let _ = ticket.send(end);
+fn release_all(node: &RoutedNode, end: HoldResult) {
+    let senders = node.held_requests.borrow_mut().withdraw_all();
+    for sender in senders {
+        // The receiver is gone if the caller has just disconnected.
+        let _ = sender.send(end);
     }
 }
 
@@ -192,9 +192,9 @@
     let released = node
         .held_requests
         .borrow_mut()
-        .release(node.now(), |line| admission_probability(node, line));
+        .release(node.now(), |flow| admission_probability(node, flow));
     for ReleasedRequest {
-        ticket,
+        ticket: sender,
         reason: outcome,
     } in released
     {
@@ -207,6 +207,6 @@
         if outcome == ReleaseReason::WaitExhausted {
             node.metrics.count("held", "due");
         }
-        let _ = ticket.send(end);
+        let _ = sender.send(end);
     }
 }
--- a/crates/kumquatquayd/src/routed/initial_health_check.rs
+++ b/crates/kumquatquayd/src/routed/initial_health_check.rs
@@ -75,20 +75,20 @@
     let host = HeaderValue::from_str(&node.settings.backend.to_string()).ok()?;
     request.headers_mut().insert(header::HOST, host);
     let answer = node.backend.send(request, true).await.ok()?;
-    let marks = (node.dialect.read_answer)(&answer.headers);
-    let is_well = answer.status == StatusCode::OK.as_u16() && !marks.is_leaving;
-    answer.return_to_pool(marks.keep_alive_timeout);
-    let instance = marks.instance.filter(|_| is_well)?;
+    let metadata = (node.dialect.read_answer)(&answer.headers);
+    let is_well = answer.status == StatusCode::OK.as_u16() && !metadata.is_leaving;
+    answer.return_to_pool(metadata.keep_alive_timeout);
+    let instance = metadata.instance.filter(|_| is_well)?;
     let report = LifeReport {
         life: BackendLife::untold(instance),
         service: service.clone(),
-        slots_count: marks.slots_count.filter(|slots| *slots > 0)?,
+        slots_count: metadata.slots_count.filter(|slots| *slots > 0)?,
         state: LifeState::Serving,
         sequence: 0,
         warm_up_left: Duration::ZERO,
     };
     Some(Found {
         report,
-        limit: marks.limit,
+        limit: metadata.limit,
     })
 }
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -34,7 +34,7 @@
 struct TimedCall<'a> {
     call: &'a CallHead<'a>,
     payload: &'a Payload,
-    due: Duration,
+    soft_deadline: Duration,
     deadline: Duration,
 }
 
@@ -75,11 +75,11 @@
     node.route_callers
         .borrow_mut()
         .record_call(now, call.route, call.caller_service);
-    let due = now + Duration::from_millis(call.target_latency_ms);
+    let soft_deadline = now + Duration::from_millis(call.target_latency_ms);
     let timed = TimedCall {
         call,
         payload,
-        due,
+        soft_deadline,
         deadline,
     };
     let mut cancelled = std::pin::pin!(cancelled);
@@ -268,7 +268,7 @@
     let call = GateCall {
         priority: timed.call.priority,
         request_priority: timed.call.whole_priority,
-        soft_deadline: timed.due,
+        soft_deadline: timed.soft_deadline,
         deadline: timed.deadline,
         run_time: node.gate.borrow().run_times().estimate(timed.call.route),
     };
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -82,7 +82,7 @@
     let report = report.unwrap_or_default();
     log::info!(
         event = "request",
-        request = call.attempt.as_str(),
+        request = call.attempt_id.as_str(),
         caller = caller.as_deref().unwrap_or_default(),
         route = call.route.settings.name.as_str(),
         service = call.service.as_str(),
@@ -105,7 +105,7 @@
 /// route. Nothing of what it shows as a key is written.
 pub(crate) fn log_unidentified(
     node: &RoutedNode,
-    marks: &RequestMetadata,
+    metadata: &RequestMetadata,
     refusal: IdentityRefusal,
 ) {
     if !node.metrics.take_log_permit(node.now()) {
@@ -114,7 +114,7 @@
     let proof_age_ms = node.proof_age().map(|age| age.as_millis() as u64);
     log::info!(
         event = "request",
-        request = marks.attempt_id.as_deref().unwrap_or_default(),
+        request = metadata.attempt_id.as_deref().unwrap_or_default(),
         outcome = "refused",
         why = refusal.name(),
         version = node.route_version(),
@@ -126,7 +126,7 @@
 /// Writes a line on a request that is beyond the quota of its workspace.
 pub(crate) fn log_over_quota(
     node: &RoutedNode,
-    marks: &RequestMetadata,
+    metadata: &RequestMetadata,
     route: &RouteEntry,
     workspace: &WorkspaceSettings,
     why: &'static str,
@@ -138,7 +138,7 @@
     let quota = workspace.quota;
     log::info!(
         event = "request",
-        request = marks.attempt_id.as_deref().unwrap_or_default(),
+        request = metadata.attempt_id.as_deref().unwrap_or_default(),
         route = route.settings.name.as_str(),
         workspace = workspace.name.as_str(),
         outcome = "refused",
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -18,15 +18,15 @@
     node: &RoutedNode,
     call: &CallHead<'_>,
     began: Duration,
-    marks: &AnswerMetadata,
+    metadata: &AnswerMetadata,
 ) {
     let Some(life) = life_of(node, call) else {
         return;
     };
-    if marks.is_leaving {
+    if metadata.is_leaving {
         on_leaving(node, &life);
     }
-    on_limit(node, &life, began, marks.limit);
+    on_limit(node, &life, began, metadata.limit);
 }
 
 /// The life that answers a call: the one that was meant, or else the one that is there.
