--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one node share.
+//! Shared state of the tasks of one node.
 
 use std::{
     cell::{Cell, RefCell},
@@ -41,26 +41,26 @@
     tasks::Tasks,
 };
 
-/// Pause between questions for a configuration; a document takes a few
-/// milliseconds.
+/// Shortest time between two requests to other nodes for their configuration; sending a
+/// configuration takes a few milliseconds.
 const CONFIGURATION_ASK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time after a node's start in which its word on routes counts less than that of
-/// nodes that have seen more.
+/// Time after the start in which what this node has learnt about routes isn't settled yet, and
+/// counts less than what nodes with more data report.
 const SETTLING_TIME: Duration = Duration::from_secs(4);
 
-/// How long news of a route that was worked out is told again.
-const NEWS_LIFETIME: Duration = Duration::from_millis(100);
+/// How long the computed [`RouteNews`] of a route is reused.
+const ROUTE_NEWS_CACHE_TIME: Duration = Duration::from_millis(100);
 
-/// Bytes of a head that the HTTP library takes, at least.
-const HEAD_LEAST_BYTES: usize = 8 * 1024;
+/// Least limit for the size of a request head.
+const MIN_HEAD_LIMIT_BYTES: usize = 8 * 1024;
 
-/// Tells a waiting call that it may run.
+/// Lets a waiting call run.
 pub(crate) type RunPermit = oneshot::Sender<()>;
 
-/// What the tasks of one node share; all of them run on one thread.
+/// Shared state of the tasks of one node; all of them run on one thread.
 ///
-/// No borrow is held across a point at which a task waits.
+/// No `RefCell` borrow is held across an `.await`.
 #[derive(Debug)]
 pub(crate) struct RoutedNode {
     pub(crate) settings: RoutedSettings,
@@ -69,104 +69,105 @@
     pub(crate) tasks: Tasks,
     clock: SystemClock,
     pub(crate) random: RefCell<StdRng>,
-    /// Where this node begins to split calls by weight, from 0 to 1.
+    /// Starting offset of this node's weighted splits, from 0 to 1.
     split_phase: f64,
     pub(crate) routes: RefCell<Option<Arc<RouteTable>>>,
-    /// The configuration in force as it was read, for nodes that ask.
+    /// The configuration in force, in the form in which other nodes request it.
     pub(crate) configuration: RefCell<Option<RouteConfiguration>>,
-    /// When the store is asked for configurations.
+    /// Decides when the store is polled for configurations.
     pub(crate) store_poller: RefCell<StorePoller>,
-    /// Told that the store is to be asked out of turn.
+    /// Notified when the store is to be polled ahead of schedule.
     pub(crate) store_poller_wake: Notify,
-    /// What is kept of the store's returns from a copy.
+    /// State about restores of the store from a backup.
     pub(super) store_restore: StoreRestore,
-    /// Until when the configuration in force was the newest.
+    /// Until when the configuration in force is known to have been the newest.
     pub(super) proof: RefCell<FreshnessProof>,
-    /// By how much the clock that counts suspended time was ahead when it was read last.
+    /// By how much the clock that includes suspended time was ahead when it was last read.
     pub(super) suspended_offset: Cell<Duration>,
-    /// Told of each new proof.
+    /// Notified of each new proof of freshness.
     pub(crate) proof_updated: Notify,
-    /// When another node may next be asked for a configuration.
+    /// Earliest time at which another node may be asked for its configuration.
     next_configuration_ask: Cell<Duration>,
     pub(crate) load_balancer: RefCell<LoadBalancer>,
     pub(super) retry_budgets: RefCell<RetryBudgets>,
-    /// Calls that the gate of this host hands over once more.
+    /// Retries at the gate of this host.
     pub(crate) gate_retries: RefCell<GateRetries>,
     pub(crate) links: RefCell<Links>,
-    /// What runs the calls of other nodes.
+    /// Tasks that run the calls of other nodes.
     pub(super) call_workers: CallWorkers,
     pub(crate) gate: RefCell<HostGate<RunPermit>>,
-    /// Told of the first call that waits for the rate limit of the backend server.
+    /// Notified when a call waits for the rate limit of the backend server.
     pub(crate) limit_wait_started: Notify,
     pub(crate) lives: RefCell<BackendLives>,
-    /// Whether the backend server of this host gives answers.
+    /// Whether the backend server of this host answers at all.
     pub(crate) backend_liveness: RefCell<BackendLiveness>,
-    /// How fast its machine works at this moment.
+    /// Slowdown of the machine that the backend server of this host reports.
     pub(crate) machine_slowdown: RefCell<MachineSlowdown>,
-    /// Failures of the backend server of this host.
+    /// Share of failed runs at the backend server of this host.
     pub(crate) run_failures: RefCell<RunFailures>,
-    /// Sets the level of the gate of this host.
+    /// Controls the admission level of the gate of this host.
     pub(crate) level_controller: RefCell<LevelController>,
-    /// From where routes to the backend server of this host are called.
+    /// Services whose hosts call the routes of this host's backend server.
     pub(crate) route_callers: RefCell<RouteCallers>,
-    /// Which calls the backend server of this host makes.
+    /// Calls made by the backend server of this host, estimated by a fit.
     pub(crate) call_graph: RefCell<CallGraph>,
-    /// The same, run by run.
+    /// Calls made by the backend server of this host, attributed to single runs.
     pub(crate) call_tracer: RefCell<CallTracer>,
-    /// What is known of the pressure on services and of where routes lead.
+    /// Pressure on services, and the demand of routes on them, as reported by other nodes.
     pub(crate) entry_admission: RefCell<EntryAdmission>,
-    /// Requests that are held at the entry.
+    /// Requests held at the entry.
     pub(super) held_requests: RefCell<HeldRequests>,
-    /// Who asked for how much of the room that is short.
+    /// Demand of each claimant for services that are short of capacity.
     pub(super) fair_shares: RefCell<FairShares>,
-    /// Told of the first that is held.
+    /// Notified when a request is held.
     pub(super) request_held: Notify,
-    /// News of routes that were worked out just now.
+    /// Recently computed news of routes, with the time of computation.
     route_news_cache: RefCell<HashMap<String, (Duration, RouteNews)>>,
     pub(crate) backend: BackendPool,
     pub(crate) metrics: NodeMetrics,
     pub(crate) route_demand_log: RouteDemandLog,
-    /// Quotas of workspaces: what this node owns and keeps.
+    /// Quotas of workspaces: what this node owns and what it has borrowed.
     pub(crate) quotas: RefCell<Quotas>,
-    /// The most nodes that any other one has told that it knew at the same time; 0 before that.
+    /// Largest count of nodes that any other node has reported; 0 before the first report.
     pub(crate) reported_nodes_count: Cell<usize>,
-    /// Keys that no workspace holds and that were shown here, or were taken away.
+    /// Keys that were presented here but belong to no workspace, or that were revoked.
     pub(crate) unknown_keys: RefCell<UnknownKeys>,
-    /// Requests that wait until it is known whether their keys are.
+    /// Requests that wait until it is known whether their keys are valid.
     pub(crate) key_waits_count: Cell<usize>,
-    /// Second of the node's life in which the last line on a refused report was written.
+    /// Second of the node's uptime in which a refused report was last logged.
     pub(crate) refused_report_second: Cell<Option<u64>>,
-    /// Requests at the entry whose answers are not written yet.
+    /// Requests at the entry whose answers haven't been written yet.
     pub(crate) in_flight_count: Cell<usize>,
-    /// Answers at the entry that are not written yet.
+    /// Answers at the entry that haven't been written yet.
     pub(crate) held_answers: Cell<HeldAnswers>,
-    /// Nodes that are known, this one included; at least one.
+    /// Largest count of nodes in the membership so far, including this one; at least 1.
     pub(crate) nodes_count: Cell<usize>,
-    /// Nodes that the register seems to have, by the page that was read; 0 before that.
+    /// Largest estimate of the number of nodes in the register, by the pages that were read; 0
+    /// before the first page.
     pub(crate) register_estimate_count: Cell<usize>,
-    /// Which nodes read the store for all.
+    /// Whether this node polls the store for others, and how many nodes do.
     pub(crate) readers: Cell<StoreReaders>,
-    /// Where those of the own data centre take calls.
+    /// Link addresses of the store readers in this data centre.
     pub(crate) near_readers: RefCell<Vec<SocketAddr>>,
-    /// How far a stop has come.
+    /// Progress of the shutdown.
     pub(crate) stop: watch::Sender<StopPhase>,
 }
 
-/// How far a stop has come.
+/// Progress of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum StopPhase {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Serving,
-    /// Callers are told to go elsewhere; what they send is still served.
+    /// Callers are asked to use other nodes; their requests are still served.
     Leaving,
     /// Idle connections are closed.
     Closing,
-    /// Nothing is under way any more, and nothing is taken.
+    /// No work is in progress, and no new requests are accepted.
     Ending,
 }
 
-/// The gate of this host, as the mechanisms that are on make it.
-fn gate_by(mechanisms: Mechanisms) -> HostGate<RunPermit> {
+/// Creates the gate of this host as the enabled mechanisms require.
+fn build_gate(mechanisms: Mechanisms) -> HostGate<RunPermit> {
     let order = if mechanisms.is_on(Mechanism::LateLast) {
         QueueOrder::LateLast
     } else {
@@ -184,21 +185,21 @@
     pub(crate) fn new(settings: RoutedSettings, dialect: Dialect, engine: Arc<Engine>) -> Rc<Self> {
         let mut random = StdRng::from_os_rng();
         let budget = settings.retry_budget;
-        // Its part of the extra repeats is left out: there are few gates to a service,
-        // and how many isn't known for sure.
-        let at_gate = RetryBudget::new(budget.window, budget.ratio * GATE_RETRY_RATIO, 0.0);
-        let gate = gate_by(settings.mechanisms);
-        let census = RouteCallers::at(settings.service.clone());
-        let follower = StorePoller::new(Duration::ZERO, random.random());
-        let follower = match settings.bounds.revoke {
-            Some(bound) => follower.with_proof_bound(bound),
-            None => follower,
+        // Without a part of the extra retries: a service has few gates, and their exact number
+        // isn't known.
+        let gate_budget = RetryBudget::new(budget.window, budget.ratio * GATE_RETRY_RATIO, 0.0);
+        let gate = build_gate(settings.mechanisms);
+        let route_callers = RouteCallers::at(settings.service.clone());
+        let store_poller = StorePoller::new(Duration::ZERO, random.random());
+        let store_poller = match settings.bounds.revoke {
+            Some(bound) => store_poller.with_proof_bound(bound),
+            None => store_poller,
         };
         let held_answers = HeldAnswers::new(settings.limits.memory_bytes);
-        // A longer one would end the link that is to carry it.
+        // A longer answer would break the link that carries it.
         let answer_limit_bytes = held_answers.answer_limit_bytes().min(BODY_LIMIT_BYTES);
         Rc::new(Self {
-            store_poller: RefCell::new(follower),
+            store_poller: RefCell::new(store_poller),
             store_poller_wake: Notify::new(),
             store_restore: StoreRestore::default(),
             proof: RefCell::default(),
@@ -217,7 +218,7 @@
             configuration: RefCell::default(),
             next_configuration_ask: Cell::default(),
             retry_budgets: RefCell::default(),
-            gate_retries: RefCell::new(GateRetries::new(at_gate)),
+            gate_retries: RefCell::new(GateRetries::new(gate_budget)),
             links: RefCell::default(),
             call_workers: CallWorkers::default(),
             gate: RefCell::new(gate),
@@ -228,7 +229,7 @@
             run_failures: RefCell::default(),
             route_news_cache: RefCell::default(),
             level_controller: RefCell::default(),
-            route_callers: RefCell::new(census),
+            route_callers: RefCell::new(route_callers),
             call_graph: RefCell::default(),
             call_tracer: RefCell::default(),
             entry_admission: RefCell::default(),
@@ -252,15 +253,15 @@
         })
     }
 
-    /// Time since the node's start.
+    /// Time since the start of the node.
     pub(crate) fn now(&self) -> Duration {
         self.clock.monotonic()
     }
 
-    /// Whether the configuration may be asked for from another node now.
+    /// Whether another node may be asked for its configuration now; if so, the pause begins.
     ///
-    /// Each answer tells the version of who gave it, so without a pause one that is
-    /// behind would ask hundreds of times before the first document has come.
+    /// Each answer carries the version of its sender. Without the pause, a node that is behind
+    /// would send hundreds of requests before the first configuration arrives.
     pub(crate) fn begin_configuration_ask(&self) -> bool {
         let now = self.now();
         let is_due = now >= self.next_configuration_ask.get();
@@ -271,30 +272,31 @@
         is_due
     }
 
-    /// The routes in force.
+    /// Routes in force; `None` before the first configuration.
     pub(crate) fn routes(&self) -> Option<Arc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
-    /// Version of the configuration in force; 0 without one.
+    /// Version of the configuration in force; 0 if there is none.
     pub(crate) fn route_version(&self) -> RouteVersion {
         let routes = self.routes.borrow();
         routes.as_ref().map_or(0, |routes| routes.version())
     }
 
-    /// How far this node follows the configuration, as others are told who haven't asked.
+    /// How far this node follows the configuration, without the age of its proof; this form is
+    /// for nodes that didn't ask.
     pub(crate) fn follow_state(&self) -> FollowState {
-        let follower = self.store_poller.borrow();
+        let store_poller = self.store_poller.borrow();
         FollowState {
             version: self.route_version(),
-            store_era: follower.era(),
-            store_answers_count: follower.answers_count(),
+            store_era: store_poller.era(),
+            store_answers_count: store_poller.answers_count(),
             proof_age_ms: None,
             nodes_count: self.nodes_count.get() as u32,
         }
     }
 
-    /// The fleet as far as this node knows it.
+    /// Size of the fleet and of its set of store readers, as this node knows them.
     pub(crate) fn poller_fleet(&self) -> PollerFleet {
         let estimate_count = self.register_estimate_count.get();
         PollerFleet {
@@ -303,10 +305,10 @@
         }
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
+    /// Puts a configuration in force if it is newer than the present one.
     ///
-    /// Configurations come from the store and from other nodes, in any order; one
-    /// that is taken late must not bring back routes that were removed.
+    /// Configurations arrive from the store and from other nodes in any order; a late one must
+    /// not bring back routes that were removed.
     pub(crate) fn apply_configuration(
         &self,
         configuration: RouteConfiguration,
@@ -318,9 +320,9 @@
         }
         let table = RouteTable::new(configuration.clone(), self.split_phase);
         if let Some(old) = self.routes() {
-            let taken_away = old.workspaces().keys_not_in(table.workspaces());
+            let removed_keys = old.workspaces().keys_not_in(table.workspaces());
             let mut unknown_keys = self.unknown_keys.borrow_mut();
-            taken_away.for_each(|key| unknown_keys.insert(self.now(), key));
+            removed_keys.for_each(|key| unknown_keys.insert(self.now(), key));
         }
         let mut quotas = self.quotas.borrow_mut();
         quotas.retain(|workspace| table.workspaces().quota(workspace).is_some());
@@ -333,19 +335,19 @@
             "a newer configuration is in force");
     }
 
-    /// Bytes of a head that the HTTP library takes from callers.
+    /// Limit for the size of a request head from a caller.
     pub(crate) fn head_limit_bytes(&self) -> usize {
         let routes = self.routes();
         let limit_bytes = routes.map_or(0, |routes| routes.limits().head_limit_bytes);
-        limit_bytes.max(HEAD_LEAST_BYTES)
+        limit_bytes.max(MIN_HEAD_LIMIT_BYTES)
     }
 
-    /// Whether the node stops.
+    /// Progress of the shutdown of this node.
     pub(crate) fn stop_phase(&self) -> StopPhase {
         *self.stop.borrow()
     }
 
-    /// How busy the backend server of this host is.
+    /// Report on the load of the gate and of the backend server of this host.
     pub(crate) fn gate_report(&self) -> GateReport {
         let level = self.level_controller.borrow().level();
         let failed_ratio = self.run_failures.borrow().ratio();
@@ -357,49 +359,49 @@
         }
     }
 
-    /// Whether a mechanism decides here.
+    /// Whether a mechanism is switched on.
     pub(crate) fn is_on(&self, mechanism: Mechanism) -> bool {
         self.settings.mechanisms.is_on(mechanism)
     }
 
-    /// What this node has learnt of a route to the backend server of this host.
+    /// What this node has learnt about a route to the backend server of this host.
     ///
-    /// It is worked out anew a few times a second: it takes a fit over all routes of
-    /// the service, and each answer may tell it.
+    /// The result is cached, since it takes a fit over all routes of the service, and any
+    /// answer may carry it.
     pub(crate) fn route_news(&self, route: &str) -> RouteNews {
         let now = self.now();
-        if let Some((told, news)) = self.route_news_cache.borrow().get(route)
-            && now < *told + NEWS_LIFETIME
+        if let Some((computed, news)) = self.route_news_cache.borrow().get(route)
+            && now < *computed + ROUTE_NEWS_CACHE_TIME
         {
             return news.clone();
         }
-        let news = self.fresh_news(now, route);
+        let news = self.compute_route_news(now, route);
         let mut known = self.route_news_cache.borrow_mut();
-        known.retain(|_, (told, _)| now < *told + NEWS_LIFETIME);
+        known.retain(|_, (computed, _)| now < *computed + ROUTE_NEWS_CACHE_TIME);
         known.insert(String::from(route), (now, news.clone()));
         news
     }
 
-    fn fresh_news(&self, now: Duration, route: &str) -> RouteNews {
+    fn compute_route_news(&self, now: Duration, route: &str) -> RouteNews {
         let services_count = self.load_balancer.borrow().services_count();
         let levels = self.entry_admission.borrow();
         let own = self.own_demand(route);
         let mut leads_to = BTreeMap::from([(own.service.clone(), own)]);
-        let (rows, is_traced) = self.call_rows(now, route);
-        for row in rows {
-            // Before it was known that people use a route, its calls were counted.
-            if levels.is_from_outside(now, &row.callee) != Some(false) {
+        let (edges, is_traced) = self.call_edges(now, route);
+        for edge in edges {
+            // Calls on routes that outside callers use were counted before that was known.
+            if levels.is_from_outside(now, &edge.callee) != Some(false) {
                 continue;
             }
-            for demand in levels.all_demands(now, &row.callee) {
-                let demand = demand.scaled(row.calls_per_run as f32);
+            for demand in levels.all_demands(now, &edge.callee) {
+                let demand = demand.scaled(edge.calls_per_run as f32);
                 let known = leads_to.entry(demand.service.clone()).or_default();
                 *known = demand.and(known);
             }
         }
-        let is_young = now < SETTLING_TIME;
+        let is_starting = now < SETTLING_TIME;
         RouteNews {
-            is_settled: is_traced || (!is_young && self.call_graph.borrow().is_settled()),
+            is_settled: is_traced || (!is_starting && self.call_graph.borrow().is_settled()),
             is_from_outside: self.route_callers.borrow().is_from_outside(
                 now,
                 route,
@@ -409,7 +411,7 @@
         }
     }
 
-    /// What one run of a route asks of the backend server of this host.
+    /// Demand of one run of a route on the backend server of this host.
     fn own_demand(&self, route: &str) -> ServiceDemand {
         let gate = self.gate.borrow();
         let work = gate.run_times().route_mean(route).unwrap_or_default();
@@ -420,33 +422,34 @@
         }
     }
 
-    /// What one run of a route calls, and whether all of it was seen run by run.
-    fn call_rows(&self, now: Duration, route: &str) -> (Vec<CallEdge>, bool) {
+    /// Calls made by one run of a route, and whether all of them were attributed to single
+    /// runs.
+    fn call_edges(&self, now: Duration, route: &str) -> (Vec<CallEdge>, bool) {
         let fitted = self.call_graph.borrow().edges(route);
         if !self.is_on(Mechanism::TracedCalls) {
             return (fitted, false);
         }
         let tracer = self.call_tracer.borrow();
-        let Some(mut rows) = tracer.edges(now, route) else {
+        let Some(mut edges) = tracer.edges(now, route) else {
             return (fitted, false);
         };
-        // Routes whose deadlines tell nothing are left to the fit. While it has not seen enough,
-        // what is known run by run is not all: taken for all, it says of a route that it leads
-        // nowhere.
-        rows.extend(
+        // Callees whose deadlines don't identify the calling run are left to the fit. While the
+        // fit has too little data the result is incomplete: taken as complete, it would say
+        // that the route calls nothing.
+        edges.extend(
             fitted
                 .into_iter()
-                .filter(|row| !tracer.is_traceable(&row.callee)),
+                .filter(|edge| !tracer.is_traceable(&edge.callee)),
         );
-        let is_all = self
+        let is_fully_traced = self
             .call_graph
             .borrow()
             .callees()
             .all(|callee| tracer.is_traceable(callee));
-        (rows, is_all)
+        (edges, is_fully_traced)
     }
 
-    /// Address at which other nodes reach this one's links.
+    /// Address for links from other nodes.
     pub(crate) fn links_address(&self) -> SocketAddr {
         self.settings.listen.links
     }
