--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -172,13 +172,13 @@
 ) -> Response<BufferedBody> {
     let (status, why) = match refusal {
         QuotaRefusal::Over { .. } => (StatusCode::TOO_MANY_REQUESTS, "over_quota"),
-        QuotaRefusal::NoKeeper => (StatusCode::SERVICE_UNAVAILABLE, "no_keeper"),
+        QuotaRefusal::NoBorrower => (StatusCode::SERVICE_UNAVAILABLE, "no_keeper"),
     };
     node.metrics.count("refused", why);
     log_over_quota(node, metadata, route, workspace, why, refusal);
     let wait = match refusal {
         QuotaRefusal::Over { wait_ms, .. } => wait_ms.map(u64::from).map(Duration::from_millis),
-        QuotaRefusal::NoKeeper => None,
+        QuotaRefusal::NoBorrower => None,
     };
     // Tokens that become available earlier are used up by requests that arrive earlier.
     let retry = retry_after(node, &route.settings).max(wait.unwrap_or_default());
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -33,20 +33,19 @@
     node::RoutedNode,
     quotas::{on_loan, on_quota_answer},
 };
-/// Bodies above this go over a second link, so that short calls don't wait behind
-/// them: at 200 Mbit/s this many bytes take 1.3 ms.
+/// Largest body that goes over the link for small bodies. Larger ones use a second link, so
+/// that short calls don't wait behind them: at 200 Mbit/s this many bytes take 1.3 ms.
 const SMALL_BODY_BYTES: usize = 32 * 1024;
 
-/// How long a connection may take to be made: many round trips. A lost opening packet
-/// is sent again after a second by the kernel; another connection is there sooner.
+/// Timeout of a connection attempt: many round trips. The kernel sends a lost SYN packet again
+/// only after a second; a new connection is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often links are looked at.
+/// Interval of the health checks of links.
 const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between attempts to reach a peer whose link was lost; one costs a few hundred
-/// bytes.
-const PROBE_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between probes of a peer whose link was lost; a probe costs a few hundred bytes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Which of the two links to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -55,33 +54,33 @@
     Bulk,
 }
 
-/// The links that this node has made, by the peer's address.
+/// Links opened by this node, by the peer's address.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     links: HashMap<(SocketAddr, LinkKind), Rc<Link>>,
-    /// Peers whose link was lost and that are tried until they answer.
+    /// Peers whose link was lost and that are being probed until they answer.
     probed: HashSet<SocketAddr>,
     last_number: CallNumber,
 }
 
 impl Links {
-    /// Links that are open.
+    /// Number of open links.
     pub(crate) fn len(&self) -> usize {
         self.links.len()
     }
 }
 
-/// One link that this node has made.
+/// Link opened by this node.
 #[derive(Debug)]
 pub(crate) struct Link {
     peer: SocketAddr,
     pub(crate) frames: FrameWriter,
     pending: RefCell<HashMap<CallNumber, Pending>>,
     health: RefCell<LinkHealth>,
-    /// Whether new calls should go elsewhere.
+    /// Whether the peer has gone silent, so that new calls should use other nodes.
     is_silent: watch::Sender<bool>,
-    /// Told of each frame from the peer, and of the link's end.
-    news: Notify,
+    /// Notified of the first frame from the peer, and of the end of the link.
+    activity: Notify,
     has_heard: Cell<bool>,
     end: Notify,
 }
@@ -89,25 +88,25 @@
 #[derive(Debug)]
 struct Pending {
     answer: oneshot::Sender<LinkAnswer>,
-    /// When it was sent, by the clock that counts suspended time.
+    /// When the call was sent, by the clock that includes suspended time.
     asked: Duration,
-    /// Bytes of the link up to the end of the frame that lets the call run.
+    /// Position in the byte stream of the link where the frame ends that lets the call run.
     end_bytes: u64,
-    /// Whether it may run only once this node has committed to it.
+    /// Whether the peer may run the call only after this node has committed to it.
     needs_commit: bool,
     may_have_run: MayHaveRun,
 }
 
-/// Sends a call to another node and waits for what comes of it.
+/// Sends a call to another node and waits for the outcome.
 ///
-/// A call that may run once at most is handed over there only after this node has
-/// committed to it, which it does when there is room. Without that, a call that waited
-/// at a gate, or in a connection that went silent, could not be told from one that has
-/// run: its caller would be told nothing, and could not send it again. It costs a round
-/// trip for these calls. So one whose link goes silent before has not run, and goes
-/// elsewhere.
+/// A call that may run at most once is passed to the backend server there only after this node
+/// has committed to it, which it does when the other node has granted room. Without the commit,
+/// a call that waits at a gate, or in a connection that went silent, can't be told from one
+/// that has run: its caller would learn nothing and couldn't retry. The commit costs these
+/// calls a round trip. A call whose link goes silent before the commit has not run, and is sent
+/// to another node.
 ///
-/// Dropped before the end, it tells the other node that nobody waits any more.
+/// Dropping the future cancels the call at the other node.
 pub(crate) async fn send_call(
     node: &Rc<RoutedNode>,
     peer: SocketAddr,
@@ -119,7 +118,7 @@
     if !link.frames.has_room() {
         return LinkAnswer::not_run(NotRunReason::Unsent);
     }
-    call.number = next_number(node);
+    call.number = next_call_number(node);
     let number = call.number;
     let needs_commit = call.needs_commit;
     if !needs_commit {
@@ -138,13 +137,13 @@
     };
     link.pending.borrow_mut().insert(number, pending);
     link.health.borrow_mut().on_call_sent(now);
-    let _canceller = Canceller {
+    let _cancel_on_drop = CancelOnDrop {
         link: &link,
         number,
     };
     let answer = tokio::select! {
         answer = &mut receiver => answer,
-        () = silence(&link) => {
+        () = wait_until_silent(&link) => {
             if needs_commit && !may_have_run.get() {
                 return LinkAnswer::not_run(NotRunReason::Unsent);
             }
@@ -154,27 +153,26 @@
     answer.unwrap_or_else(|_| LinkAnswer::unknown(UnknownReason::LinkLost))
 }
 
-/// Waits until a link has gone silent.
-async fn silence(link: &Link) {
+/// Waits until a link is silent.
+async fn wait_until_silent(link: &Link) {
     let mut is_silent = link.is_silent.subscribe();
-    // The link outlives the wait, and with it the sender.
+    // The link outlives the wait, and so does the sender of the watch channel.
     let _ = is_silent.wait_for(|is_silent| *is_silent).await;
 }
 
-/// Waits until the link over which a call goes has gone silent.
+/// Waits until the link to a peer that is used for bodies of this size is silent.
 pub(crate) async fn link_silence(node: &Rc<RoutedNode>, peer: SocketAddr, body_bytes: usize) {
     let link = link_to(node, peer, body_bytes);
-    silence(&link).await;
+    wait_until_silent(&link).await;
 }
 
-/// Tells the other node that the answer to a call isn't wanted any more, unless
-/// it has come.
-struct Canceller<'a> {
+/// Cancels a call at the other node on drop, unless its answer has arrived.
+struct CancelOnDrop<'a> {
     link: &'a Link,
     number: CallNumber,
 }
 
-impl Drop for Canceller<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         let number = self.number;
         let is_open = self.link.pending.borrow_mut().remove(&number).is_some();
@@ -184,7 +182,7 @@
     }
 }
 
-fn next_number(node: &RoutedNode) -> CallNumber {
+fn next_call_number(node: &RoutedNode) -> CallNumber {
     let mut links = node.links.borrow_mut();
     links.last_number += 1;
     links.last_number
@@ -206,34 +204,34 @@
         pending: RefCell::default(),
         health: RefCell::new(LinkHealth::new(node.now())),
         is_silent: watch::Sender::new(false),
-        news: Notify::new(),
+        activity: Notify::new(),
         has_heard: Cell::new(false),
         end: Notify::new(),
     });
     node.links.borrow_mut().links.insert(key, Rc::clone(&link));
-    let task = keep_link(Rc::clone(node), key, Rc::clone(&link));
+    let task = run_link_to_end(Rc::clone(node), key, Rc::clone(&link));
     node.tasks.spawn_local(task);
     link
 }
 
-/// Makes a link, carries its frames, and settles its calls when it ends.
-async fn keep_link(node: Rc<RoutedNode>, key: (SocketAddr, LinkKind), link: Rc<Link>) {
+/// Runs a link to its end, then settles its pending calls.
+async fn run_link_to_end(node: Rc<RoutedNode>, key: (SocketAddr, LinkKind), link: Rc<Link>) {
     let (peer, _) = key;
     let why = match run_link(&node, peer, &link).await {
-        Ok(()) => String::from("the other side closed it"),
+        Ok(()) => String::from("closed by the peer"),
         Err(error) => error.to_string(),
     };
     link.frames.close();
     node.links.borrow_mut().links.remove(&key);
     let pending = std::mem::take(&mut *link.pending.borrow_mut());
     let lost_count = pending.len();
-    link.news.notify_waiters();
-    reach_again(&node, peer);
+    link.activity.notify_waiters();
+    probe_lost_peer(&node, peer);
     node.metrics.count("link_ended", "lost");
     log::info!(event = "link_ended", peer:% = peer, calls = lost_count; "{why}");
     for pending in pending.into_values() {
-        // A frame that was not written to its end was never understood, and one that
-        // waits for this node to commit has not run.
+        // A frame that wasn't written completely can't have been read, and a call that still
+        // needs the commit of this node has not run.
         let is_sent = link.frames.has_written_to(pending.end_bytes);
         let answer = if is_sent && !pending.needs_commit {
             LinkAnswer::unknown(UnknownReason::LinkLost)
@@ -253,7 +251,7 @@
     tokio::select! {
         read = read_frames(read, take) => read,
         written = link.frames.run(write) => written,
-        () = link.end.notified() => Err(io::Error::new(io::ErrorKind::TimedOut, "it went silent")),
+        () = link.end.notified() => Err(io::Error::new(io::ErrorKind::TimedOut, "the peer went silent")),
     }
 }
 
@@ -288,7 +286,7 @@
         | FrameHead::LoanAsk { .. }
         | FrameHead::QuotaAsk { .. }
         | FrameHead::QuotaReturn { .. } => {
-            log::warn!(event = "link_confused"; "a frame came from the wrong side of a link");
+            log::warn!(event = "link_confused"; "a frame arrived at the wrong end of a link");
         }
     }
     on_activity(node, link);
@@ -296,20 +294,22 @@
 }
 
 fn on_activity(node: &RoutedNode, link: &Link) {
-    let is_waited_for = !link.pending.borrow().is_empty();
-    link.health.borrow_mut().on_frame(node.now(), is_waited_for);
-    // Each call on the link watches this; told of each frame, all of them would wake up for
-    // each: that took as much processor time as everything else in an overload.
+    let has_pending_calls = !link.pending.borrow().is_empty();
+    link.health
+        .borrow_mut()
+        .on_frame(node.now(), has_pending_calls);
+    // Each call on the link watches this value. Without the check, every frame would wake all
+    // of them, which cost as much processor time as all other work in an overload.
     let was_silent = link.is_silent.send_if_modified(std::mem::take);
     if was_silent {
         node.load_balancer.borrow_mut().mark_reachable(link.peer);
     }
     if !link.has_heard.replace(true) {
-        link.news.notify_waiters();
+        link.activity.notify_waiters();
     }
 }
 
-/// There is room for a call: commits to it, unless nobody waits for it any more.
+/// Handles granted room for a call: commits to the call, unless it was cancelled.
 fn on_granted(link: &Link, number: CallNumber) {
     if let Some(pending) = link.pending.borrow_mut().get_mut(&number) {
         pending.needs_commit = false;
@@ -318,31 +318,31 @@
     }
 }
 
-/// Tries to reach a peer whose link was lost, until it answers or isn't a target any more.
+/// Probes a peer whose link was lost, until it answers or is no longer an endpoint.
 ///
-/// Tried with a call, a peer that is cut off would take that call with it each time.
-fn reach_again(node: &Rc<RoutedNode>, peer: SocketAddr) {
+/// Without probes, each attempt to reach a peer that is cut off would cost a call.
+fn probe_lost_peer(node: &Rc<RoutedNode>, peer: SocketAddr) {
     if !node.is_on(Mechanism::SilentLinks) || !node.links.borrow_mut().probed.insert(peer) {
         return;
     }
     let node = Rc::clone(node);
     let tasks = node.tasks.clone();
     tasks.spawn_local(async move {
-        while node.load_balancer.borrow_mut().mark_unreachable(peer) && !answers(&node, peer).await
+        while node.load_balancer.borrow_mut().mark_unreachable(peer) && !responds(&node, peer).await
         {
-            tokio::time::sleep(PROBE_PAUSE).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
         node.load_balancer.borrow_mut().mark_reachable(peer);
         node.links.borrow_mut().probed.remove(&peer);
     });
 }
 
-/// Whether a peer answers on a link of now.
-async fn answers(node: &Rc<RoutedNode>, peer: SocketAddr) -> bool {
+/// Whether a peer answers a ping on its present link.
+async fn responds(node: &Rc<RoutedNode>, peer: SocketAddr) -> bool {
     let link = link_to(node, peer, 0);
-    let news = link.news.notified();
+    let activity = link.activity.notified();
     link.frames.push(&ping_frame(node));
-    let _ = tokio::time::timeout(CONNECT_TIMEOUT, news).await;
+    let _ = tokio::time::timeout(CONNECT_TIMEOUT, activity).await;
     link.has_heard.get() && !*link.is_silent.borrow()
 }
 
@@ -354,7 +354,7 @@
         }
         None => on_follow_state(node, &link.frames, answer.followed),
     }
-    // Without one the call was given up; the answer has crossed the cancellation.
+    // Without a pending call: the call was cancelled while its answer was on its way.
     if let Some(pending) = pending {
         let _ = pending.answer.send(LinkAnswer {
             outcome: answer.outcome,
@@ -367,13 +367,13 @@
     }
 }
 
-/// Asks another node for a sign of life, which tells how far it follows the configuration.
+/// Pings another node; the answer tells how far it follows the configuration.
 pub(crate) fn send_ping(node: &Rc<RoutedNode>, peer: SocketAddr) {
     let link = link_to(node, peer, 0);
     link.frames.push(&ping_frame(node));
 }
 
-/// Sends a frame that isn't a call to another node.
+/// Sends a frame that isn't a call to another node; it is dropped if the link has no room.
 pub(crate) fn send_frame(node: &Rc<RoutedNode>, peer: SocketAddr, head: &FrameHead<'_>) {
     let link = link_to(node, peer, 0);
     if link.frames.has_room() {
@@ -381,13 +381,13 @@
     }
 }
 
-/// Asks another node for its configuration.
+/// Requests the configuration of another node.
 pub(crate) fn ask_configuration(node: &Rc<RoutedNode>, peer: SocketAddr) {
     let link = link_to(node, peer, 0);
     link.frames.push(&FrameHead::ConfigurationAsk);
 }
 
-/// Asks quiet peers for a sign of life and gives silent links up.
+/// Pings quiet peers and closes links that stay silent.
 pub(crate) async fn watch_links(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
@@ -399,9 +399,9 @@
 }
 
 fn watch_link(node: &RoutedNode, link: &Link) {
-    let is_waited_for = !link.pending.borrow().is_empty();
+    let has_pending_calls = !link.pending.borrow().is_empty();
     let mut health = link.health.borrow_mut();
-    match health.check(node.now(), WATCH_INTERVAL, is_waited_for) {
+    match health.check(node.now(), WATCH_INTERVAL, has_pending_calls) {
         LinkAction::Keep => {}
         LinkAction::Ping => {
             link.frames.push(&ping_frame(node));
@@ -409,11 +409,11 @@
         LinkAction::Avoid if !node.is_on(Mechanism::SilentLinks) => {}
         LinkAction::Avoid => {
             node.load_balancer.borrow_mut().mark_unreachable(link.peer);
-            let is_news = |is_silent: &mut bool| !std::mem::replace(is_silent, true);
-            if link.is_silent.send_if_modified(is_news) {
+            let becomes_silent = |is_silent: &mut bool| !std::mem::replace(is_silent, true);
+            if link.is_silent.send_if_modified(becomes_silent) {
                 node.metrics.count("link", "silent");
                 log::info!(event = "link_silent", peer:% = link.peer;
-                    "no sign of life: calls go elsewhere");
+                    "no frame from the peer; new calls use other nodes");
             }
         }
         LinkAction::Close => link.end.notify_one(),
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -1,4 +1,4 @@
-//! Who the members are: hosts the membership of the core.
+//! Runs the membership of the core: its timers, effects, register and announcements.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -25,15 +25,15 @@
     tasks::Tasks,
 };
 
-/// How often the node looks whether the members have changed.
+/// Interval at which the node checks for changed members.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often members that are gone are looked for, and how many at a time: with
-/// 300 bytes each this is under 1 KB/s.
-const RETURNED_INTERVAL: Duration = Duration::from_secs(1);
-const RETURNED_COUNT: usize = 3;
+/// How often, and to how many at a time, the node introduces itself to members that are gone.
+/// At 300 bytes each this is less than 1 KB/s.
+const REINTRODUCTION_INTERVAL: Duration = Duration::from_secs(1);
+const REINTRODUCTION_COUNT: usize = 3;
 
-/// Tells the membership what the backend server of this host is.
+/// Announces the state of the backend server of this host to the membership.
 pub(crate) fn announce_backend(node: &RoutedNode) {
     let lives = node.lives.borrow();
     let Some(current) = lives.current() else {
@@ -50,7 +50,7 @@
     drop(gate);
     log::info!(event = "backend", life:% = current.life, state:% = state,
         slots = current.slots_count, sequence = current.sequence;
-        "the backend server of this host told how it is");
+        "the backend server of this host has reported its state");
     let announcement = Announcement {
         service: current.service.clone(),
         life: Some(current.life.clone()),
@@ -62,161 +62,165 @@
     node.engine.handle(BackendInput::Announced(announcement));
 }
 
-/// Tells the membership that the backend server of this host is dead, until it
-/// reports again.
+/// Announces to the membership that the backend server of this host is dead, until it reports
+/// again.
 pub(crate) fn announce_backend_death(node: &RoutedNode, why: &str) {
     if node.lives.borrow_mut().on_dead() {
-        log::warn!(event = "backend_dead"; "the backend server is taken to be dead: {why}");
+        log::warn!(event = "backend_dead"; "the backend server is considered dead: {why}");
         node.engine.handle(BackendInput::Died);
         withdraw_waiting(node);
     }
 }
 
-/// Keeps the table of targets like the members.
+/// Updates the load balancer when the members change.
 pub(crate) async fn follow_members(node: Rc<RoutedNode>) {
     let mut seen = None;
     loop {
         let changed = node.engine.members_changed();
         if seen != Some(changed) {
             seen = Some(changed);
-            refresh(&node);
+            refresh_members(&node);
         }
         node.backend.close_expired();
-        log_line_changes(&node);
+        log_outlier_changes(&node);
         tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
-/// Tells which backend servers fail more than their peers, with what that was judged by.
-fn log_line_changes(node: &RoutedNode) {
+/// Logs outliers that were ejected or readmitted, with the rates that this was judged by.
+fn log_outlier_changes(node: &RoutedNode) {
     let changes = node.load_balancer.borrow_mut().take_outlier_changes();
     for change in changes {
         log::warn!(event = "backend_out_of_line", service = change.service.as_str(),
             node:% = change.control, left_alone = change.is_ejected,
             failed = change.failed_ratio, middle = change.median_ratio;
-            "a backend server fails far more runs than its peers, or no longer");
+            "a backend server was ejected as an outlier, or readmitted");
     }
 }
 
-fn refresh(node: &RoutedNode) {
+fn refresh_members(node: &RoutedNode) {
     let members = node.engine.members();
-    let is_there = |state| state != MemberState::Gone;
-    let there_count = members
+    let is_present = |state| state != MemberState::Gone;
+    let present_count = members
         .iter()
-        .filter(|member| is_there(member.state))
+        .filter(|member| is_present(member.state))
         .count();
-    // The larger count makes this node's part of shared budgets the smaller one.
+    // The largest count keeps this node's part of shared budgets small.
     node.nodes_count
-        .set(there_count.max(node.nodes_count.get()));
+        .set(present_count.max(node.nodes_count.get()));
     let settings = &node.settings;
     let own = settings.listen.control;
     let readers = StoreReaders::select(own, &settings.data_centre, members.iter());
     if node.readers.replace(readers) != readers {
         log::info!(event = "store_readers", reads = readers.is_reader,
             readers = readers.count as u64;
-            "this node reads the store for others, or is told by them");
+            "this node polls the store for others, or relies on those that do");
     }
-    let near = StoreReaders::in_data_centre(&settings.data_centre, members.iter());
-    let near = near.into_iter().map(|reader| reader.peer);
-    node.near_readers.replace(near.collect());
+    let local_readers = StoreReaders::in_data_centre(&settings.data_centre, members.iter());
+    let local_readers = local_readers.into_iter().map(|reader| reader.peer);
+    node.near_readers.replace(local_readers.collect());
     let mut targets = node.load_balancer.borrow_mut();
     targets.rebuild(&node.settings.data_centre, members.iter());
 }
 
 /// Introduces this node to members that are gone, a few at a time.
 ///
-/// A host that is started again while the store is away knows nobody, and nobody
-/// probes the address of one that left in good order. It would be alone until the
-/// store returns; an introduction brings it its peers within seconds.
+/// A host that is restarted while the store is unavailable knows no other node, and no node
+/// probes the address of one that left in an orderly way. It would stay alone until the store
+/// returns; an introduction connects it with its peers within seconds.
 pub(crate) async fn reintroduce_to_gone_members(node: Rc<RoutedNode>) {
     loop {
-        tokio::time::sleep(RETURNED_INTERVAL).await;
+        tokio::time::sleep(REINTRODUCTION_INTERVAL).await;
         let gone: Vec<SocketAddr> = node.engine.look_at_members(|members| {
             let gone = members.filter(|member| member.state == MemberState::Gone);
             gone.map(|member| member.control).collect()
         });
-        let some = gone
-            .choose_multiple(&mut *node.random.borrow_mut(), RETURNED_COUNT)
+        let chosen = gone
+            .choose_multiple(&mut *node.random.borrow_mut(), REINTRODUCTION_COUNT)
             .copied();
-        let some: Vec<SocketAddr> = some.collect();
-        if !some.is_empty() {
-            node.engine.handle(Input::Seeds(some));
+        let chosen: Vec<SocketAddr> = chosen.collect();
+        if !chosen.is_empty() {
+            node.engine.handle(Input::Seeds(chosen));
         }
     }
 }
 
-/// Enters this node in the register and introduces it to some that are found there.
+/// Writes this node into the register and introduces it to nodes found there.
 pub(crate) async fn join_through_register(node: Rc<RoutedNode>, store: PlatformStore) {
     let own = node.settings.listen.control;
     node.engine
         .handle(Input::Seeds(node.settings.seeds.clone()));
     let random_seed = node.random.borrow_mut().random();
-    let mut course = RegisterBootstrap::new(node.now(), own, random_seed);
+    let mut bootstrap = RegisterBootstrap::new(node.now(), own, random_seed);
     loop {
-        match course.step(node.now(), peers_count(&node)) {
+        match bootstrap.step(node.now(), peers_count(&node)) {
             RegisterStep::Enter => {
                 let entered = (store.register_node)(own, register_position(own)).await;
-                look_for_return(&node, &store, &mut course);
+                check_store_restore(&node, &store, &mut bootstrap);
                 match entered {
-                    Ok(()) => on_entered(&node, &mut course),
-                    Err(error) => on_unreached(&node, &mut course, &error),
+                    Ok(()) => on_registered(&node, &mut bootstrap),
+                    Err(error) => on_register_error(&node, &mut bootstrap, &error),
                 }
             }
             RegisterStep::ReadPage { from: place } => {
                 let page = (store.register_page)(place).await;
-                look_for_return(&node, &store, &mut course);
+                check_store_restore(&node, &store, &mut bootstrap);
                 match page {
                     Ok(page) => {
-                        let look = introduce(&node, place, page);
-                        course.on_page(node.now(), look);
+                        let summary = introduce(&node, place, page);
+                        bootstrap.on_page(node.now(), summary);
                     }
-                    Err(error) => on_unreached(&node, &mut course, &error),
+                    Err(error) => on_register_error(&node, &mut bootstrap, &error),
                 }
             }
             RegisterStep::Wait { until } => {
                 let pause = tokio::time::sleep(until.saturating_sub(node.now()));
                 tokio::select! {
                     () = pause => {}
-                    () = node.store_restore.wait() => look_for_return(&node, &store, &mut course),
+                    () = node.store_restore.wait() => check_store_restore(&node, &store, &mut bootstrap),
                 }
             }
             RegisterStep::Done => {
                 node.store_restore.wait().await;
-                look_for_return(&node, &store, &mut course);
+                check_store_restore(&node, &store, &mut bootstrap);
             }
         }
     }
 }
 
-/// Looks whether the store came back from a copy, which may lack this node's entry.
-fn look_for_return(node: &RoutedNode, store: &PlatformStore, course: &mut RegisterBootstrap) {
+/// Checks whether the store was restored from a backup, which may lack this node's entry.
+fn check_store_restore(
+    node: &RoutedNode,
+    store: &PlatformStore,
+    bootstrap: &mut RegisterBootstrap,
+) {
     node.on_store_eras((store.eras)());
     if node.store_restore.take() {
-        course.on_store_restored(node.now(), node.poller_fleet().nodes_count);
+        bootstrap.on_store_restored(node.now(), node.poller_fleet().nodes_count);
     }
 }
 
-fn on_entered(node: &RoutedNode, course: &mut RegisterBootstrap) {
-    course.on_entered(node.now());
+fn on_registered(node: &RoutedNode, bootstrap: &mut RegisterBootstrap) {
+    bootstrap.on_entered(node.now());
     node.metrics.count("register", "entered");
-    log::info!(event = "register_entered"; "this node stands in the register");
+    log::info!(event = "register_entered"; "this node is in the register");
 }
 
-fn on_unreached(node: &RoutedNode, course: &mut RegisterBootstrap, error: &StoreError) {
+fn on_register_error(node: &RoutedNode, bootstrap: &mut RegisterBootstrap, error: &StoreError) {
     log::warn!(event = "register_unreached"; "{error}");
-    course.on_failure(node.now());
+    bootstrap.on_failure(node.now());
 }
 
-/// Other members that are there.
+/// Number of other members that aren't gone.
 fn peers_count(node: &RoutedNode) -> usize {
-    let there_count = node.engine.look_at_members(|members| {
-        let there = members.filter(|member| member.state != MemberState::Gone);
-        there.count()
+    let present_count = node.engine.look_at_members(|members| {
+        let present = members.filter(|member| member.state != MemberState::Gone);
+        present.count()
     });
-    there_count.saturating_sub(1)
+    present_count.saturating_sub(1)
 }
 
-/// Introduces this node to those on a page of the register.
+/// Introduces this node to the other nodes on a page of the register.
 fn introduce(
     node: &RoutedNode,
     place: RegisterPosition,
@@ -225,23 +229,23 @@
     let own = node.settings.listen.control;
     let others = page.nodes.into_iter().filter(|control| *control != own);
     let others: Vec<SocketAddr> = others.collect();
-    let look = RegisterPageSummary {
+    let summary = RegisterPageSummary {
         from: place,
         last_position: page.last_position,
         others_count: others.len(),
         is_last: page.is_last,
     };
-    let estimate_count = look.estimate_count();
+    let estimate_count = summary.estimate_count();
     let known_count = node.register_estimate_count.get();
     node.register_estimate_count
         .set(known_count.max(estimate_count));
     log::info!(event = "register_read", nodes = others.len(), estimate = estimate_count;
-        "other nodes found");
+        "read a page of the register");
     node.engine.handle(Input::Seeds(others));
-    look
+    summary
 }
 
-/// Ticks the core.
+/// Drives the timers of the core.
 pub(crate) async fn run_ticks(engine: Arc<Engine>) {
     loop {
         let wait = engine.tick();
@@ -249,8 +253,8 @@
     }
 }
 
-/// Carries out what the core asks of its host; the logs of the core's other
-/// concerns aren't kept on this platform.
+/// Executes the effects that the core requests. Effects of the core's logs are ignored, since
+/// this platform keeps none.
 pub(crate) async fn run_effects(
     engine: Arc<Engine>,
     mut effects: UnboundedReceiver<Effect>,
@@ -261,7 +265,7 @@
     while let Some(effect) = effects.recv().await {
         match effect {
             Effect::Send { to, datagram } => {
-                // A datagram that can't be sent is lost, as any datagram may be.
+                // Datagrams may be lost anyway, so a failure to send one is ignored.
                 let _ = socket.try_send_to(&datagram.to_bytes(&key), to);
             }
             Effect::BulkAsk { to, question } => {
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of workspaces: lent, kept and asked for.
+//! Quotas of workspaces: loans between nodes, and tokens for requests.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,33 +14,33 @@
 
 use super::{link::send_frame, node::RoutedNode};
 
-/// How often keepers ask for loans: a loan outlives two answers that are lost.
+/// Interval at which borrowers ask for loans; a loan lasts longer than two lost answers.
 const LOAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a keeper is waited for; an answer takes a round trip within the data centre. One that
-/// was killed costs each request this until its link is found silent.
-const KEEPER_PATIENCE: Duration = Duration::from_millis(100);
+/// Timeout of a question to a borrower; an answer takes a round trip within the data centre. A
+/// borrower that was killed delays each request by this much until its link is found silent.
+const BORROWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a keeper that gave no answer is passed over. Members find out a death within
-/// seconds, and until then half of each quota would stand still and each request would wait.
-const SILENT_TIME: Duration = Duration::from_secs(2);
+/// Time for which a borrower that didn't answer is skipped. The membership detects a death
+/// within seconds; until then half of each quota would be unusable and each request would wait.
+const SILENT_BORROWER_TIME: Duration = Duration::from_secs(2);
 
-/// Pause before a request looks again for keepers that can tell.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// Pause before a request tries again to find a borrower that can answer.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time after the start in which a node that nobody has told how many nodes there are owns
-/// nothing.
-const UNTOLD_TIME: Duration = Duration::from_secs(10);
+/// Time after the start in which a node owns no part of any quota, unless another node or the
+/// register has told it how many nodes there are.
+const UNKNOWN_COUNT_TIME: Duration = Duration::from_secs(10);
 
-/// Time after the start in which the register may know more nodes than the members.
+/// Time after the start in which the register may list more nodes than the membership.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
 
-/// What a node owns, keeps and waits for.
+/// State of the quotas at one node: its own parts, its loans and its open questions.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     shares: NodeQuotas,
-    keepers: Borrowers,
-    /// Borrowers that gave no answer, by when they were asked last.
+    borrowers: Borrowers,
+    /// Borrowers that didn't answer, with the time of the last question.
     silent: HashMap<SocketAddr, Duration>,
     asked: HashMap<u64, oneshot::Sender<QuotaVerdict>>,
     last_number: u64,
@@ -50,30 +50,30 @@
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             shares: NodeQuotas::new(now),
-            keepers: Borrowers::default(),
+            borrowers: Borrowers::default(),
             silent: HashMap::new(),
             asked: HashMap::new(),
             last_number: 0,
         }
     }
 
-    /// Forgets workspaces that are no more.
+    /// Removes workspaces that no longer exist.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.shares.retain(is_known);
     }
 }
 
-/// A token that was taken for a request.
+/// Token taken for a request.
 #[derive(Debug)]
 pub(crate) struct QuotaToken {
     workspace: WorkspaceName,
-    /// The keeper that gave it; `None` for this node.
-    keeper: Option<SocketAddr>,
+    /// Borrower that issued the token; `None` for this node.
+    borrower: Option<SocketAddr>,
 }
 
-/// A token of a request that has not run; it goes back unless it is spent.
+/// Token of a request that has not run; dropping it returns the token unless it was spent.
 ///
-/// A caller may leave while its request is held, which drops this.
+/// It is also dropped when a caller leaves while its request is held.
 pub(crate) struct UnspentToken<'a> {
     node: &'a Rc<RoutedNode>,
     token: Option<QuotaToken>,
@@ -84,7 +84,7 @@
         Self { node, token }
     }
 
-    /// The request may run now.
+    /// Keeps the token for good, since the request may run now.
     pub(crate) fn spend(mut self) -> Option<QuotaToken> {
         self.token.take()
     }
@@ -98,51 +98,52 @@
     }
 }
 
-/// Why a request has no token.
+/// Why a request gets no token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaRefusal {
-    /// It is beyond the quota; when there is a token again, and the part of the quota that is
-    /// lent to who said so, in millionths.
+    /// The quota is used up. Carries the time until the next token, if that is known, and the
+    /// part of the quota in millionths that is lent to the borrower that answered.
     Over {
         wait_ms: Option<u32>,
         share_millionths: u32,
     },
-    /// No keeper answers.
-    NoKeeper,
+    /// No borrower can answer.
+    NoBorrower,
 }
 
 impl QuotaRefusal {
-    /// Part of the quota that is lent to the keeper that was asked last.
+    /// Part of the quota that is lent to the borrower that answered last.
     pub(crate) fn share(self) -> f64 {
         match self {
             Self::Over {
                 share_millionths, ..
             } => f64::from(share_millionths) / 1e6,
-            Self::NoKeeper => 0.0,
+            Self::NoBorrower => 0.0,
         }
     }
 }
 
-/// Takes a token for a request of a workspace, if that has a quota.
+/// Takes a token for a request of a workspace, if the workspace has a quota.
 ///
-/// While the node starts, a request waits until there are keepers that can tell.
+/// While no borrower can answer, as after the start of the node, it tries again for up to
+/// `max_wait`.
 ///
 /// # Errors
 ///
-/// [`QuotaRefusal`] if there is none.
+/// [`QuotaRefusal`] if there is no token.
 pub(crate) async fn take_token(
     node: &Rc<RoutedNode>,
     workspace: &WorkspaceSettings,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<Option<QuotaToken>, QuotaRefusal> {
-    let until = node.now() + patience;
+    let deadline = node.now() + max_wait;
     loop {
         let token = take_token_once(node, workspace).await;
-        let can_wait = node.now() + LOOK_AGAIN < until;
-        if token.as_ref().err() != Some(&QuotaRefusal::NoKeeper) || !can_wait {
+        let can_wait = node.now() + RETRY_PAUSE < deadline;
+        if token.as_ref().err() != Some(&QuotaRefusal::NoBorrower) || !can_wait {
             return token;
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -153,20 +154,23 @@
     if workspace.quota.is_none() {
         return Ok(None);
     }
-    let token = |keeper| {
+    let token = |borrower| {
         let workspace = workspace.name.clone();
-        Ok(Some(QuotaToken { workspace, keeper }))
+        Ok(Some(QuotaToken {
+            workspace,
+            borrower,
+        }))
     };
-    let mut refusal = QuotaRefusal::NoKeeper;
-    for keeper in keepers_of(node, &workspace.name) {
-        let own = keeper == node.links_address();
-        let verdict = if own {
+    let mut refusal = QuotaRefusal::NoBorrower;
+    for borrower in borrowers_of(node, &workspace.name) {
+        let is_own = borrower == node.links_address();
+        let verdict = if is_own {
             Some(take_local_token(node, &workspace.name))
         } else {
-            ask_keeper(node, keeper, &workspace.name).await
+            ask_borrower(node, borrower, &workspace.name).await
         };
         match verdict {
-            Some(QuotaVerdict::Within) => return token((!own).then_some(keeper)),
+            Some(QuotaVerdict::Within) => return token((!is_own).then_some(borrower)),
             Some(QuotaVerdict::Over {
                 wait_ms,
                 share_millionths,
@@ -176,60 +180,61 @@
                     share_millionths,
                 };
             }
-            // A keeper that nobody has lent anything yet can't tell.
+            // A borrower to which nothing has been lent yet can't answer.
             Some(QuotaVerdict::Over { .. } | QuotaVerdict::NotKnown) | None => {}
         }
     }
-    // What nobody has asked this node to lend.
+    // The part of the quota that this node owns and that nobody has borrowed.
     if take_local_token(node, &workspace.name) == QuotaVerdict::Within {
         return token(None);
     }
     Err(refusal)
 }
 
-/// The keepers of a workspace, each once, that of the own data centre first.
-fn keepers_of(node: &RoutedNode, workspace: &str) -> Vec<SocketAddr> {
+/// Borrowers of a workspace's quota, without duplicates; the one of the own data centre comes
+/// first.
+fn borrowers_of(node: &RoutedNode, workspace: &str) -> Vec<SocketAddr> {
     if !node.is_on(Mechanism::QuotaLoans) {
         return Vec::new();
     }
     let slice = slice_of(workspace);
     let quotas = node.quotas.borrow();
-    let mut keepers: Vec<SocketAddr> = (0..HALVES_COUNT)
-        .filter_map(|half| quotas.keepers.borrower(half, slice))
+    let mut borrowers: Vec<SocketAddr> = (0..HALVES_COUNT)
+        .filter_map(|half| quotas.borrowers.borrower(half, slice))
         .collect();
-    keepers.dedup();
-    keepers
+    borrowers.dedup();
+    borrowers
 }
 
-async fn ask_keeper(
+async fn ask_borrower(
     node: &Rc<RoutedNode>,
-    keeper: SocketAddr,
+    borrower: SocketAddr,
     workspace: &str,
 ) -> Option<QuotaVerdict> {
-    let (open, receiver) = OpenAsk::new(node);
+    let (open, receiver) = OpenQuestion::new(node);
     let number = open.number;
     let workspace = WorkspaceName::from(workspace);
     let ask = FrameHead::QuotaAsk { number, workspace };
-    send_frame(node, keeper, &ask);
-    let answer = tokio::time::timeout(KEEPER_PATIENCE, receiver).await;
+    send_frame(node, borrower, &ask);
+    let answer = tokio::time::timeout(BORROWER_TIMEOUT, receiver).await;
     drop(open);
     let mut quotas = node.quotas.borrow_mut();
     if answer.is_ok() {
-        quotas.silent.remove(&keeper);
+        quotas.silent.remove(&borrower);
     } else {
-        quotas.silent.insert(keeper, node.now());
+        quotas.silent.insert(borrower, node.now());
         node.metrics.count("quota", "no_answer");
     }
     answer.ok()?.ok()
 }
 
-/// A question to a keeper that has no answer yet.
-struct OpenAsk<'a> {
+/// Question to a borrower that has no answer yet.
+struct OpenQuestion<'a> {
     node: &'a RoutedNode,
     number: u64,
 }
 
-impl<'a> OpenAsk<'a> {
+impl<'a> OpenQuestion<'a> {
     fn new(node: &'a RoutedNode) -> (Self, oneshot::Receiver<QuotaVerdict>) {
         let (sender, receiver) = oneshot::channel();
         let mut quotas = node.quotas.borrow_mut();
@@ -240,13 +245,14 @@
     }
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for OpenQuestion<'_> {
     fn drop(&mut self) {
         self.node.quotas.borrow_mut().asked.remove(&self.number);
     }
 }
 
-/// Takes in a keeper's answer. One that comes too late was a token that nobody used.
+/// Handles the answer of a borrower. An answer that is too late is ignored; its token stays
+/// unused.
 pub(crate) fn on_quota_answer(node: &RoutedNode, number: u64, verdict: QuotaVerdict) {
     let asked = node.quotas.borrow_mut().asked.remove(&number);
     if let Some(asked) = asked {
@@ -254,7 +260,7 @@
     }
 }
 
-/// Takes a token from what is lent to this node.
+/// Takes a token from the quota that this node has at present.
 pub(crate) fn take_local_token(node: &RoutedNode, workspace: &str) -> QuotaVerdict {
     let Some(limit) = limit_of(node, workspace) else {
         return QuotaVerdict::NotKnown;
@@ -272,13 +278,13 @@
     }
 }
 
-/// Gives a token back: its request has not run.
+/// Returns the token of a request that has not run.
 pub(crate) fn return_token(node: &Rc<RoutedNode>, token: QuotaToken) {
-    match token.keeper {
+    match token.borrower {
         None => return_local_token(node, &token.workspace),
-        Some(keeper) => {
+        Some(borrower) => {
             let workspace = token.workspace;
-            send_frame(node, keeper, &FrameHead::QuotaReturn { workspace });
+            send_frame(node, borrower, &FrameHead::QuotaReturn { workspace });
         }
     }
 }
@@ -298,14 +304,14 @@
     Some(QuotaLimit::of(quota, node.settings.quota_tolerance))
 }
 
-/// Lends a keeper what it asks for.
+/// Lends a borrower what it asks for.
 pub(crate) fn lend(
     node: &RoutedNode,
-    keeper: SocketAddr,
+    borrower: SocketAddr,
     wanted: SliceSets,
     asked_ms: u64,
 ) -> FrameHead<'static> {
-    let granted = lend_parts(node, keeper, wanted);
+    let granted = grant_slices(node, borrower, wanted);
     FrameHead::Loan {
         lender: node.settings.listen.control,
         granted,
@@ -314,30 +320,31 @@
     }
 }
 
-fn lend_parts(node: &RoutedNode, keeper: SocketAddr, wanted: SliceSets) -> SliceSets {
+fn grant_slices(node: &RoutedNode, borrower: SocketAddr, wanted: SliceSets) -> SliceSets {
     let nodes_count = nodes_count(node);
     let mut quotas = node.quotas.borrow_mut();
     quotas
         .shares
-        .lend(node.boot_time(), keeper, wanted, nodes_count)
+        .lend(node.boot_time(), borrower, wanted, nodes_count)
 }
 
-/// Takes in a loan of another node.
+/// Records a loan from another node, or from this one.
 pub(crate) fn on_loan(node: &RoutedNode, lender: SocketAddr, loan: Loan) {
     let mut quotas = node.quotas.borrow_mut();
     quotas.shares.on_loan(node.boot_time(), lender, loan);
 }
 
-/// Nodes among which quotas are split; `None` while that isn't known.
+/// Number of nodes among which quotas are split; `None` while it isn't known.
 ///
-/// Too few would let each own too much: a node that starts, or is cut off, sees only some. So the
-/// most that it or any other one ever saw counts, and at first, or while no other one has told
-/// it, what the register seems to have.
+/// A count that is too small would give each node too much. A node that starts or is cut off
+/// sees only some of the nodes, so the result is the largest count that this or any other node
+/// has seen. At the start, or while no other node has reported a count, the estimate from the
+/// register counts too.
 pub(crate) fn nodes_count(node: &RoutedNode) -> Option<usize> {
     let told_count = node.reported_nodes_count.get();
     let registered_count = node.register_estimate_count.get();
     let now = node.now();
-    if told_count.max(registered_count) == 0 && now < UNTOLD_TIME {
+    if told_count.max(registered_count) == 0 && now < UNKNOWN_COUNT_TIME {
         return None;
     }
     let known_count = node.nodes_count.get().max(told_count);
@@ -347,7 +354,8 @@
     Some(known_count)
 }
 
-/// Asks the nodes of the own data centre for what they own, where this node is a keeper.
+/// Borrows quotas from other nodes where this node is a borrower, and keeps the use of its own
+/// parts that nobody has borrowed.
 pub(crate) async fn run_quota_loans(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(LOAN_INTERVAL).await;
@@ -366,30 +374,30 @@
     }
 }
 
-/// Ranks the members as they are now, those that failed to answer just now left out.
-fn refresh_keepers(node: &RoutedNode) {
+/// Ranks the present members, without those that failed to answer recently.
+fn refresh_borrowers(node: &RoutedNode) {
     let now = node.now();
     let data_centre = &node.settings.data_centre;
     let mut quotas = node.quotas.borrow_mut();
     let Quotas {
-        keepers, silent, ..
+        borrowers, silent, ..
     } = &mut *quotas;
-    silent.retain(|_, asked| now < *asked + SILENT_TIME);
+    silent.retain(|_, asked| now < *asked + SILENT_BORROWER_TIME);
     node.engine.look_at_members(|members| {
-        let heard = members.filter(|member| !silent.contains_key(&member.peer));
-        keepers.refresh(data_centre, heard);
+        let responsive = members.filter(|member| !silent.contains_key(&member.peer));
+        borrowers.refresh(data_centre, responsive);
     });
 }
 
 fn ask_for_loans(node: &Rc<RoutedNode>) {
-    refresh_keepers(node);
+    refresh_borrowers(node);
     let own = node.settings.listen.control;
-    let wanted = node.quotas.borrow().keepers.borrowed_by(own);
+    let wanted = node.quotas.borrow().borrowers.borrowed_by(own);
     if wanted.is_empty() {
         return;
     }
     let asked = node.boot_time();
-    let granted = lend_parts(node, own, wanted);
+    let granted = grant_slices(node, own, wanted);
     let nodes_count = nodes_count(node).unwrap_or(usize::MAX);
     let loan = Loan {
         granted,
@@ -397,7 +405,7 @@
         nodes_count,
     };
     on_loan(node, own, loan);
-    for (peer, wanted) in asked_members(node, wanted) {
+    for (peer, wanted) in members_to_ask(node, wanted) {
         let ask = FrameHead::LoanAsk {
             keeper: own,
             wanted,
@@ -407,8 +415,9 @@
     }
 }
 
-/// Where those take calls that a keeper asks, and what it asks each for.
-fn asked_members(node: &RoutedNode, wanted: SliceSets) -> Vec<(SocketAddr, SliceSets)> {
+/// Link addresses of the members that a borrower asks for loans, and the slices it asks of
+/// each.
+fn members_to_ask(node: &RoutedNode, wanted: SliceSets) -> Vec<(SocketAddr, SliceSets)> {
     let own = node.settings.listen.control;
     let data_centre = &node.settings.data_centre;
     node.engine.look_at_members(|members| {
