--- a/crates/kumquatquay-core/src/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/src/routed/entry_queue.rs
@@ -81,7 +81,7 @@
     /// It is refused.
     Refused {
         /// Time after which there should be room to hold it, if that is known.
-        retry_after: Option<Duration>,
+        room_expected_in: Option<Duration>,
     },
 }
 
@@ -120,7 +120,7 @@
     /// The expected room didn't come; it is refused.
     NoRoom {
         /// Time after which there should be room to hold it, if that is known.
-        retry_after: Option<Duration>,
+        room_expected_in: Option<Duration>,
     },
 }
 
@@ -226,7 +226,9 @@
         let latest_start = self.latest_start(request);
         let has_memory = self.has_memory(request.held_bytes);
         let Some(flow) = self.flows.get_mut(request.flow) else {
-            return HoldDecision::Refused { retry_after: None };
+            return HoldDecision::Refused {
+                room_expected_in: None,
+            };
         };
         flow.on_arrival(now);
         flow.add_credit(now, request.admission_probability);
@@ -244,9 +246,9 @@
         let fits =
             is_holdable && expected_wait.is_some_and(|expected_wait| expected_wait <= max_wait);
         let Some(latest_start) = latest_start.filter(|_| fits) else {
-            let retry_after =
+            let room_expected_in =
                 expected_wait.map(|expected_wait| expected_wait.saturating_sub(max_wait));
-            return HoldDecision::Refused { retry_after };
+            return HoldDecision::Refused { room_expected_in };
         };
         self.last_sequence += 1;
         let position = HeldPosition {
@@ -358,7 +360,9 @@
     if random.random::<f64>() < admission_probability {
         HoldDecision::Admitted
     } else {
-        HoldDecision::Refused { retry_after: None }
+        HoldDecision::Refused {
+            room_expected_in: None,
+        }
     }
 }
 
@@ -472,10 +476,10 @@
             self.credit -= 1.0;
             released.push((first.remove(), ReleaseReason::WaitExhausted));
         }
-        while let Some(retry_after) = self.check_hopeless(now)
+        while let Some(room_expected_in) = self.check_hopeless(now)
             && let Some((_, held)) = self.held.pop_last()
         {
-            released.push((held, ReleaseReason::NoRoom { retry_after }));
+            released.push((held, ReleaseReason::NoRoom { room_expected_in }));
         }
     }
 
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -340,7 +340,7 @@
                         self.admit(now, ticket)
                     }
                     ReleaseReason::NoRoom {
-                        retry_after: room_in,
+                        room_expected_in: room_in,
                     } => {
                         self.totals.held_then_refused += 1.0;
                         self.refuse(now, ticket, room_in);
@@ -375,7 +375,7 @@
             HoldDecision::Admitted => self.admit(now, sent),
             HoldDecision::Held(_) => self.totals.held += 1.0,
             HoldDecision::Refused {
-                retry_after: room_in,
+                room_expected_in: room_in,
             } => self.refuse(now, sent, room_in),
         }
     }
--- a/crates/kumquatquayd/src/routed/held_requests.rs
+++ b/crates/kumquatquayd/src/routed/held_requests.rs
@@ -109,7 +109,7 @@
     let key = match offer {
         HoldDecision::Admitted => return HoldResult::Admitted,
         HoldDecision::Refused {
-            retry_after: room_in,
+            room_expected_in: room_in,
         } => return HoldResult::NoRoom { room_in },
         HoldDecision::Held(key) => key,
     };
@@ -201,7 +201,7 @@
         let end = match outcome {
             ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => HoldResult::Admitted,
             ReleaseReason::NoRoom {
-                retry_after: room_in,
+                room_expected_in: room_in,
             } => HoldResult::NoRoom { room_in },
         };
         if outcome == ReleaseReason::WaitExhausted {
