--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -10,10 +10,10 @@
 
 use crate::at_ms;
 
-const TARGET: Duration = Duration::from_secs(5);
-const NEEDED: Duration = Duration::from_millis(900);
+const TARGET_LATENCY: Duration = Duration::from_secs(5);
+const LATENCY: Duration = Duration::from_millis(900);
 
-fn line(priority: u32) -> FlowKey {
+fn flow(priority: u32) -> FlowKey {
     FlowKey {
         route: String::from("timetable"),
         service: String::from("schedule"),
@@ -26,30 +26,40 @@
 fn queue<T>() -> EntryQueue<T> {
     let mut queue = EntryQueue::default();
     for _ in 0..200 {
-        queue.on_answer("timetable", NEEDED);
+        queue.on_answer("timetable", LATENCY);
     }
     queue
 }
 
-fn offer(queue: &mut EntryQueue<u32>, at: u64, chance: f64, ticket: u32) -> HoldDecision {
+fn offer(
+    queue: &mut EntryQueue<u32>,
+    now_ms: u64,
+    admission_probability: f64,
+    ticket: u32,
+) -> HoldDecision {
     let request = HoldRequest {
-        flow: &line(2),
-        admission_probability: chance,
-        soft_deadline: at_ms(at) + TARGET,
+        flow: &flow(2),
+        admission_probability,
+        soft_deadline: at_ms(now_ms) + TARGET_LATENCY,
         held_bytes: 1_000,
     };
     let mut random = StdRng::seed_from_u64(u64::from(ticket));
-    queue.offer(at_ms(at), &request, ticket, &mut random)
+    queue.offer(at_ms(now_ms), &request, ticket, &mut random)
 }
 
-/// Offers requests until one is held, which uses up the credit of its line; returns its ticket.
-fn held(queue: &mut EntryQueue<u32>, at: u64, chance: f64) -> u32 {
+/// Offers requests until one is held, which uses up the credit of its flow; returns its ticket.
+fn held(queue: &mut EntryQueue<u32>, now_ms: u64, admission_probability: f64) -> u32 {
     (0..10)
-        .find(|ticket| matches!(offer(queue, at, chance, *ticket), HoldDecision::Held(_)))
+        .find(|ticket| {
+            matches!(
+                offer(queue, now_ms, admission_probability, *ticket),
+                HoldDecision::Held(_)
+            )
+        })
         .unwrap()
 }
 
-fn outcomes(released: &[ReleasedRequest<u32>]) -> Vec<ReleaseReason> {
+fn reasons(released: &[ReleasedRequest<u32>]) -> Vec<ReleaseReason> {
     released.iter().map(|released| released.reason).collect()
 }
 
@@ -57,8 +67,11 @@
 fn with_room_for_all_no_request_is_held() {
     let mut queue = queue();
     for ticket in 0..100 {
-        let at = u64::from(ticket) * 10;
-        assert_eq!(offer(&mut queue, at, 1.0, ticket), HoldDecision::Admitted);
+        let now_ms = u64::from(ticket) * 10;
+        assert_eq!(
+            offer(&mut queue, now_ms, 1.0, ticket),
+            HoldDecision::Admitted
+        );
     }
     assert_eq!(queue.held_count(), 0);
 }
@@ -69,7 +82,7 @@
     let ticket = held(&mut queue, 0, 0.6);
     let released = (25..5_000)
         .step_by(25)
-        .find_map(|at| queue.release(at_ms(at), |_| 1.0).pop());
+        .find_map(|now_ms| queue.release(at_ms(now_ms), |_| 1.0).pop());
     let released = released.unwrap();
     assert_eq!(released.ticket, ticket);
     assert_eq!(released.reason, ReleaseReason::RoomAvailable);
@@ -83,31 +96,31 @@
     let mut queue = queue();
     held(&mut queue, 0, 0.6);
     // No release runs before this one, so none has refused the request for lack of room.
-    let released = queue.release(at_ms(0) + TARGET - NEEDED, |_| 0.0);
-    assert_eq!(outcomes(&released), [ReleaseReason::WaitExhausted]);
+    let released = queue.release(at_ms(0) + TARGET_LATENCY - LATENCY, |_| 0.0);
+    assert_eq!(reasons(&released), [ReleaseReason::WaitExhausted]);
 }
 
 #[test]
 fn a_held_request_is_refused_soon_if_no_room_appears() {
     let mut queue = queue();
     held(&mut queue, 0, 0.6);
-    let (at, released) = (25..5_000)
+    let (now_ms, released) = (25..5_000)
         .step_by(25)
-        .map(|at| (at, queue.release(at_ms(at), |_| 0.0)))
+        .map(|now_ms| (now_ms, queue.release(at_ms(now_ms), |_| 0.0)))
         .find(|(_, released)| !released.is_empty())
         .unwrap();
     assert!(matches!(
-        outcomes(&released)[..],
+        reasons(&released)[..],
         [ReleaseReason::NoRoom { .. }]
     ));
-    assert!(at < 3_000, "{at}");
+    assert!(now_ms < 3_000, "{now_ms}");
 }
 
 #[test]
 fn a_request_that_would_be_late_anyway_is_not_held() {
     let mut queue = EntryQueue::default();
     for _ in 0..200 {
-        queue.on_answer("timetable", TARGET);
+        queue.on_answer("timetable", TARGET_LATENCY);
     }
     for ticket in 0..100 {
         let offer = offer(&mut queue, 0, 0.2, ticket);
@@ -167,11 +180,11 @@
     let mut queue = queue::<u32>();
     let mut random = StdRng::seed_from_u64(1);
     for priority in [3, 1, 2] {
-        let line = line(priority);
+        let flow = flow(priority);
         let request = HoldRequest {
-            flow: &line,
+            flow: &flow,
             admission_probability: 0.6,
-            soft_deadline: TARGET,
+            soft_deadline: TARGET_LATENCY,
             held_bytes: 1_000,
         };
         for _ in 0..3 {
@@ -179,8 +192,8 @@
         }
     }
     let mut offered = Vec::new();
-    queue.release(at_ms(2_500), |line| {
-        offered.push(line.priority);
+    queue.release(at_ms(2_500), |flow| {
+        offered.push(flow.priority);
         0.5
     });
     offered.dedup();
@@ -194,19 +207,19 @@
         let mut queue = queue();
         let mut held = 0_usize;
         let mut now = Duration::ZERO;
-        for (ticket, (pause_ms, chance, bytes)) in steps.into_iter().enumerate() {
+        for (ticket, (pause_ms, probability_byte, bytes)) in steps.into_iter().enumerate() {
             now += Duration::from_millis(u64::from(pause_ms % 300));
-            let chance = f64::from(chance) / 255.0;
+            let admission_probability = f64::from(probability_byte) / 255.0;
             let request = HoldRequest {
-                flow: &line(u32::from(pause_ms % 3)),
-                admission_probability: chance,
-                soft_deadline: now + TARGET,
+                flow: &flow(u32::from(pause_ms % 3)),
+                admission_probability,
+                soft_deadline: now + TARGET_LATENCY,
                 held_bytes: bytes as usize,
             };
             let mut random = StdRng::seed_from_u64(ticket as u64);
             let offer = queue.offer(now, &request, ticket, &mut random);
             held += usize::from(matches!(offer, HoldDecision::Held(_)));
-            held -= queue.release(now, |_| chance).len();
+            held -= queue.release(now, |_| admission_probability).len();
             if queue.held_count() != held || queue.held_bytes() > 4 * 1024 * 1024 {
                 return TestResult::failed();
             }
@@ -219,23 +232,23 @@
 /// What entries do with a request for which there is no room now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// Admit or refuse by chance; refused callers retry once.
+    /// Admit with the admission probability; refused callers retry once.
     Refuse,
     Hold,
 }
 
-/// Many entries before one service, whose room for the requests of one line changes.
+/// Many entries before one service, whose room for the requests of one flow changes.
 ///
-/// Entries learn the chance some tenths of a second late. It is the share of the requests offered
-/// at all entries that there was room for.
+/// Entries learn the admission probability some tenths of a second late. It is the share of the
+/// requests offered at all entries that there was room for.
 struct EntrySimulation {
     policy: Policy,
     entries: Vec<EntryQueue<SentRequest>>,
     random: StdRng,
     /// Offers in the last steps, the oldest first.
     offers: VecDeque<f64>,
-    /// Chances that the entries don't know yet, the oldest first.
-    chances: VecDeque<f64>,
+    /// Admission probabilities that the entries don't know yet, the oldest first.
+    admission_probabilities: VecDeque<f64>,
     retrying: Vec<SentRequest>,
     totals: Totals,
 }
@@ -285,8 +298,9 @@
 
 const STEP: Duration = Duration::from_millis(100);
 const ENTRIES: usize = 60;
-/// Steps over which offers are averaged for the chance, and after which entries learn it.
-const CHANCE_STEPS: usize = 5;
+/// Steps over which offers are averaged for the admission probability, and after which entries
+/// learn it.
+const PROBABILITY_STEPS: usize = 5;
 
 impl EntrySimulation {
     fn new(policy: Policy, seed: u64) -> Self {
@@ -294,8 +308,8 @@
             policy,
             entries: (0..ENTRIES).map(|_| queue()).collect(),
             random: StdRng::seed_from_u64(seed),
-            offers: VecDeque::from(vec![0.0; CHANCE_STEPS]),
-            chances: VecDeque::from(vec![1.0; CHANCE_STEPS]),
+            offers: VecDeque::from(vec![0.0; PROBABILITY_STEPS]),
+            admission_probabilities: VecDeque::from(vec![1.0; PROBABILITY_STEPS]),
             retrying: Vec::new(),
             totals: Totals::default(),
         }
@@ -306,7 +320,7 @@
         self.totals
             .admissions
             .push(StepAdmissions { count: 0.0, room });
-        let chance = self.chances.pop_front().unwrap();
+        let admission_probability = self.admission_probabilities.pop_front().unwrap();
         let mut offers = 0.0;
         let arrivals = mean_arrivals + mean_arrivals.sqrt() * self.random.random_range(-1.7..1.7);
         let fresh = (0..arrivals.max(0.0) as u32).map(|_| SentRequest {
@@ -323,84 +337,77 @@
         for sent in arrived {
             self.totals.sent += f64::from(u8::from(!sent.is_retry));
             offers += 1.0;
-            self.offer(now, sent, chance);
+            self.offer(now, sent, admission_probability);
         }
         for entry in 0..ENTRIES {
             let released = self.entries[entry].release(now, |_| {
                 offers += 1.0;
-                chance
+                admission_probability
             });
-            for ReleasedRequest {
-                ticket,
-                reason: outcome,
-            } in released
-            {
-                match outcome {
+            for ReleasedRequest { ticket, reason } in released {
+                match reason {
                     ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => {
                         self.admit(now, ticket)
                     }
-                    ReleaseReason::NoRoom {
-                        room_expected_in: room_in,
-                    } => {
+                    ReleaseReason::NoRoom { room_expected_in } => {
                         self.totals.held_then_refused += 1.0;
-                        self.refuse(now, ticket, room_in);
+                        self.refuse(now, ticket, room_expected_in);
                     }
                 }
             }
         }
         self.offers.pop_front();
         self.offers.push_back(offers);
-        let mean = self.offers.iter().sum::<f64>() / CHANCE_STEPS as f64;
-        self.chances.push_back((room / mean.max(1e-3)).min(1.0));
+        let mean = self.offers.iter().sum::<f64>() / PROBABILITY_STEPS as f64;
+        self.admission_probabilities
+            .push_back((room / mean.max(1e-3)).min(1.0));
     }
 
-    fn offer(&mut self, now: Duration, sent: SentRequest, chance: f64) {
-        if chance >= 1.0 {
+    fn offer(&mut self, now: Duration, sent: SentRequest, admission_probability: f64) {
+        if admission_probability >= 1.0 {
             return self.admit(now, sent);
         }
         if self.policy == Policy::Refuse {
-            if self.random.random::<f64>() < chance {
+            if self.random.random::<f64>() < admission_probability {
                 return self.admit(now, sent);
             }
             return self.refuse(now, sent, None);
         }
         let entry = self.random.random_range(0..ENTRIES);
         let request = HoldRequest {
-            flow: &line(2),
-            admission_probability: chance,
-            soft_deadline: sent.first_sent + TARGET,
+            flow: &flow(2),
+            admission_probability,
+            soft_deadline: sent.first_sent + TARGET_LATENCY,
             held_bytes: 1_000,
         };
         match self.entries[entry].offer(now, &request, sent, &mut self.random) {
             HoldDecision::Admitted => self.admit(now, sent),
             HoldDecision::Held(_) => self.totals.held += 1.0,
-            HoldDecision::Refused {
-                room_expected_in: room_in,
-            } => self.refuse(now, sent, room_in),
+            HoldDecision::Refused { room_expected_in } => self.refuse(now, sent, room_expected_in),
         }
     }
 
     fn admit(&mut self, now: Duration, sent: SentRequest) {
         self.totals.admissions.last_mut().unwrap().count += 1.0;
-        if now + NEEDED <= sent.first_sent + TARGET + STEP {
+        if now + LATENCY <= sent.first_sent + TARGET_LATENCY + STEP {
             self.totals.in_time += 1.0;
         } else {
             self.totals.late += 1.0;
         }
     }
 
-    fn refuse(&mut self, now: Duration, sent: SentRequest, room_in: Option<Duration>) {
+    fn refuse(&mut self, now: Duration, sent: SentRequest, room_expected_in: Option<Duration>) {
         if sent.is_retry {
             self.totals.refused += 1.0;
             return;
         }
-        let returns = RetryAfter {
-            target_latency: TARGET,
-            time_left: Some((sent.first_sent + 2 * TARGET).saturating_sub(now)),
+        let delay = RetryAfter {
+            target_latency: TARGET_LATENCY,
+            time_left: Some((sent.first_sent + 2 * TARGET_LATENCY).saturating_sub(now)),
             shortage_duration: Duration::ZERO,
-            room_expected_in: room_in,
+            room_expected_in,
         };
-        let arrives = now + returns.sample(&mut self.random);
+        let arrives = now + delay.sample(&mut self.random);
         self.retrying.push(SentRequest {
             arrives,
             is_retry: true,
--- a/crates/kumquatquay-core/tests/routed/host_gate.rs
+++ b/crates/kumquatquay-core/tests/routed/host_gate.rs
@@ -19,10 +19,10 @@
     }
 }
 
-fn run(work_ms: u64) -> RouteRunTime<'static> {
+fn run(run_time_ms: u64) -> RouteRunTime<'static> {
     RouteRunTime {
         route: "call",
-        run_time: Duration::from_millis(work_ms),
+        run_time: Duration::from_millis(run_time_ms),
     }
 }
 
@@ -102,57 +102,61 @@
     ));
 }
 
-/// Calls of one priority wait: status lookups by people, due in 150 ms, and calls that running
-/// requests make, due in 300 ms. In order of arrival the lookups would all be late behind calls
+/// Calls of one priority wait: status lookups by people, with a soft deadline in 150 ms, and calls
+/// made by runs, with one in 300 ms. In order of arrival the lookups would all be late behind calls
 /// that can afford to wait longer.
 #[test]
-fn among_equals_the_call_due_first_runs_first() {
+fn among_equals_the_earliest_soft_deadline_runs_first() {
     let mut gate = gate(1);
     fill(&mut gate, 1);
-    let due_at = |due_ms| GateCall {
+    let with_soft_deadline = |soft_deadline_ms| GateCall {
         request_priority: 0,
         priority: 1,
-        soft_deadline: at_ms(due_ms),
+        soft_deadline: at_ms(soft_deadline_ms),
         deadline: at_ms(5_000),
         run_time: Duration::from_millis(20),
     };
-    gate.offer(at_ms(1), due_at(301), "in a run");
-    gate.offer(at_ms(2), due_at(152), "of a person");
+    gate.offer(at_ms(1), with_soft_deadline(301), "in a run");
+    gate.offer(at_ms(2), with_soft_deadline(152), "of a person");
     gate.ended(None);
     assert_eq!(gate.next(at_ms(3)), Some("of a person"));
 }
 
 /// A stall of a third of a second has made five calls late; two that can still be in time
-/// arrived after them. Run in the order of their due times, all seven are late. With late calls
+/// arrived after them. Run in the order of their soft deadlines, all seven are late. With late calls
 /// moved behind the others, the two are in time.
 #[test]
 fn calls_that_are_late_anyway_do_not_make_others_late() {
-    let due_at = |due_ms| GateCall {
-        soft_deadline: at_ms(due_ms),
+    let with_soft_deadline = |soft_deadline_ms| GateCall {
+        soft_deadline: at_ms(soft_deadline_ms),
         ..call(1, at_ms(5_000))
     };
     let timely_count = |order| {
         let mut gate = gate(1).order(order);
         fill(&mut gate, 1);
-        for due_ms in [300, 305, 310, 315, 320, 365, 385] {
+        for soft_deadline_ms in [300, 305, 310, 315, 320, 365, 385] {
             gate.offer(
                 at_ms(1),
-                due_at(due_ms),
-                if due_ms > 320 { "fresh" } else { "late" },
+                with_soft_deadline(soft_deadline_ms),
+                if soft_deadline_ms > 320 {
+                    "fresh"
+                } else {
+                    "late"
+                },
             );
         }
         // The stall is over; each call runs for 20 ms.
-        let ends = (330..).step_by(20).map(|began_ms| {
+        let ends = (330..).step_by(20).map(|start_ms| {
             gate.ended(None);
-            (gate.next(at_ms(began_ms)), began_ms + 20)
+            (gate.next(at_ms(start_ms)), start_ms + 20)
         });
         let ended: Vec<_> = ends.take(7).collect();
         assert!(ended.iter().all(|(ticket, _)| ticket.is_some()), "all run");
         let fresh = ended.iter().filter(|(ticket, _)| *ticket == Some("fresh"));
-        let due_ms = [365, 385];
+        let soft_deadline_ms = [365, 385];
         let timely = fresh
-            .zip(due_ms)
-            .filter(|((_, end_ms), due_ms)| end_ms <= due_ms);
+            .zip(soft_deadline_ms)
+            .filter(|((_, end_ms), soft_deadline_ms)| end_ms <= soft_deadline_ms);
         timely.count()
     };
     assert_eq!(timely_count(QueueOrder::EarliestDeadline), 0);
@@ -224,8 +228,8 @@
 }
 
 /// A backend server always reports that it runs nothing. If all its calls were taken to be in
-/// transit, it would get more of them until its own queue is full and it turns them away. The
-/// gate makes up for a quarter of its limit at most.
+/// transit, it would get more of them until its own queue is full and it rejects them. The
+/// allowance for calls in transit is a quarter of the limit at most.
 #[test]
 fn an_underreported_load_does_not_flood_the_backend_server() {
     let mut gate = gate(80);
@@ -311,8 +315,8 @@
 fn calls_of_one_route_run_by_the_priority_of_their_request() {
     let mut gate = HostGate::default();
     gate.set_limit_count(1);
-    let call_for = |whole_priority| GateCall {
-        request_priority: whole_priority,
+    let call_for = |request_priority| GateCall {
+        request_priority,
         ..call(3, at_ms(10_000))
     };
     assert!(matches!(
--- a/crates/kumquatquay-core/tests/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/tests/routed/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The choice of the backend server for a call.
+//! Which backend server the load balancer picks for a call.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -30,12 +30,12 @@
     }
 }
 
-fn report(running_count: u32, work_ms: u32) -> GateReport {
+fn report(running_count: u32, run_time_ms: u32) -> GateReport {
     GateReport {
         running_count,
         waiting_count: 0,
         limit_count: 10,
-        work_us: work_ms * 1_000,
+        work_us: run_time_ms * 1_000,
         level_permille: 1_000,
         failed_permille: 0,
         pace_permille: 0,
@@ -43,33 +43,35 @@
     }
 }
 
-/// A table with hosts 1 and 2 in the own data centre and host 3 in another one.
-fn table() -> (LoadBalancer, StdRng) {
+/// A load balancer with hosts 1 and 2 in the own data centre and host 3 in another one.
+fn balancer() -> (LoadBalancer, StdRng) {
     let members = [
         member(1, "near", MemberState::Serving),
         member(2, "near", MemberState::Serving),
         member(3, "far", MemberState::Serving),
     ];
-    let mut table = LoadBalancer::default();
-    table.rebuild("near", members.iter());
-    (table, StdRng::seed_from_u64(1))
+    let mut balancer = LoadBalancer::default();
+    balancer.rebuild("near", members.iter());
+    (balancer, StdRng::seed_from_u64(1))
 }
 
-fn end_call(table: &mut LoadBalancer, host: u8, how: EndpointResult, report: GateReport) {
-    table.on_ended(at_ms(0), address(host), how, Some(report));
+fn end_call(balancer: &mut LoadBalancer, host: u8, result: EndpointResult, report: GateReport) {
+    balancer.on_ended(at_ms(0), address(host), result, Some(report));
 }
 
 /// Sends `count` calls, each of which ends at once, and counts them by host.
 fn calls_by_host(
-    table: &mut LoadBalancer,
+    balancer: &mut LoadBalancer,
     random: &mut StdRng,
     count: usize,
 ) -> BTreeMap<u8, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..count {
-        let choice = table.pick(at_ms(0), "archive", &[], false, random).unwrap();
-        table.on_ended(at_ms(0), choice.control, EndpointResult::Cancelled, None);
-        let SocketAddr::V4(control) = choice.control else {
+        let endpoint = balancer
+            .pick(at_ms(0), "archive", &[], false, random)
+            .unwrap();
+        balancer.on_ended(at_ms(0), endpoint.control, EndpointResult::Cancelled, None);
+        let SocketAddr::V4(control) = endpoint.control else {
             panic!("an IPv4 address");
         };
         *counts.entry(control.ip().octets()[3]).or_default() += 1;
@@ -79,19 +81,24 @@
 
 #[test]
 fn calls_stay_in_the_own_data_centre_while_there_is_room() {
-    let (mut table, mut random) = table();
-    let counts = calls_by_host(&mut table, &mut random, 100);
+    let (mut balancer, mut random) = balancer();
+    let counts = calls_by_host(&mut balancer, &mut random, 100);
     assert_eq!(counts.get(&3), None);
 }
 
 #[test]
 fn calls_go_to_another_data_centre_when_the_own_one_is_full() {
-    let (mut table, mut random) = table();
+    let (mut balancer, mut random) = balancer();
     for host in [1, 2] {
-        end_call(&mut table, host, EndpointResult::Answered, report(25, 20));
+        end_call(
+            &mut balancer,
+            host,
+            EndpointResult::Answered,
+            report(25, 20),
+        );
     }
-    end_call(&mut table, 3, EndpointResult::Answered, report(2, 20));
-    let counts = calls_by_host(&mut table, &mut random, 5);
+    end_call(&mut balancer, 3, EndpointResult::Answered, report(2, 20));
+    let counts = calls_by_host(&mut balancer, &mut random, 5);
     assert_eq!(counts.get(&3), Some(&5));
 }
 
@@ -100,41 +107,41 @@
 /// that the service has no room, and requests would be refused while slots are idle.
 #[test]
 fn a_slow_server_is_filled_before_a_fast_one_has_a_queue() {
-    let (mut table, mut random) = table();
-    end_call(&mut table, 1, EndpointResult::Answered, report(10, 16));
-    end_call(&mut table, 2, EndpointResult::Answered, report(5, 38));
-    let counts = calls_by_host(&mut table, &mut random, 2);
+    let (mut balancer, mut random) = balancer();
+    end_call(&mut balancer, 1, EndpointResult::Answered, report(10, 16));
+    end_call(&mut balancer, 2, EndpointResult::Answered, report(5, 38));
+    let counts = calls_by_host(&mut balancer, &mut random, 2);
     assert_eq!(counts.get(&1), None);
 }
 
-/// Both servers have queues: the one with the shorter queue is chosen, whatever their speeds.
+/// Both servers have queues: the one with the shorter queue is picked, whatever their speeds.
 #[test]
-fn among_crowded_servers_the_less_loaded_is_chosen() {
-    let (mut table, mut random) = table();
-    end_call(&mut table, 1, EndpointResult::Answered, report(20, 16));
-    end_call(&mut table, 2, EndpointResult::Answered, report(11, 38));
-    let counts = calls_by_host(&mut table, &mut random, 2);
+fn among_crowded_servers_the_less_loaded_is_picked() {
+    let (mut balancer, mut random) = balancer();
+    end_call(&mut balancer, 1, EndpointResult::Answered, report(20, 16));
+    end_call(&mut balancer, 2, EndpointResult::Answered, report(11, 38));
+    let counts = calls_by_host(&mut balancer, &mut random, 2);
     assert_eq!(counts.get(&1), None);
 }
 
-/// While both servers have idle slots, the one that is expected to answer first is chosen.
+/// While both servers have idle slots, the one that is expected to answer first is picked.
 #[test]
 fn a_fast_server_with_room_is_preferred() {
-    let (mut table, mut random) = table();
-    end_call(&mut table, 1, EndpointResult::Answered, report(6, 16));
-    end_call(&mut table, 2, EndpointResult::Answered, report(1, 38));
-    let counts = calls_by_host(&mut table, &mut random, 1);
+    let (mut balancer, mut random) = balancer();
+    end_call(&mut balancer, 1, EndpointResult::Answered, report(6, 16));
+    end_call(&mut balancer, 2, EndpointResult::Answered, report(1, 38));
+    let counts = calls_by_host(&mut balancer, &mut random, 1);
     assert_eq!(counts.get(&1), Some(&1));
 }
 
 #[test]
-fn a_host_that_fails_is_chosen_last() {
-    let (mut table, mut random) = table();
+fn a_host_that_fails_is_picked_last() {
+    let (mut balancer, mut random) = balancer();
     for _ in 0..20 {
-        end_call(&mut table, 1, EndpointResult::Failed, report(1, 20));
+        end_call(&mut balancer, 1, EndpointResult::Failed, report(1, 20));
     }
-    end_call(&mut table, 2, EndpointResult::Answered, report(5, 20));
-    let counts = calls_by_host(&mut table, &mut random, 3);
+    end_call(&mut balancer, 2, EndpointResult::Answered, report(5, 20));
+    let counts = calls_by_host(&mut balancer, &mut random, 3);
     assert_eq!(counts.get(&1), None);
 }
 
@@ -142,26 +149,26 @@
 /// connection's timeout. One call that tries it after a pause is enough to find out whether it
 /// is back.
 #[test]
-fn a_host_is_not_chosen_for_some_time_after_its_link_was_lost() {
-    let (mut table, mut random) = table();
-    table.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
+fn a_host_is_not_picked_for_some_time_after_its_link_was_lost() {
+    let (mut balancer, mut random) = balancer();
+    balancer.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let excluded = [address(2), address(3)];
     assert_eq!(
-        table.pick(at_ms(100), "archive", &excluded, false, &mut random),
+        balancer.pick(at_ms(100), "archive", &excluded, false, &mut random),
         None
     );
-    let choice = table.pick(at_ms(400), "archive", &excluded, false, &mut random);
-    assert_eq!(choice.unwrap().control, address(1));
+    let endpoint = balancer.pick(at_ms(400), "archive", &excluded, false, &mut random);
+    assert_eq!(endpoint.unwrap().control, address(1));
 }
 
 #[test]
 fn a_draining_host_gets_no_calls() {
-    let mut table = LoadBalancer::default();
+    let mut balancer = LoadBalancer::default();
     let members = [member(1, "near", MemberState::Draining)];
-    table.rebuild("near", members.iter());
+    balancer.rebuild("near", members.iter());
     let mut random = StdRng::seed_from_u64(1);
     assert_eq!(
-        table.pick(at_ms(0), "archive", &[], false, &mut random),
+        balancer.pick(at_ms(0), "archive", &[], false, &mut random),
         None
     );
 }
@@ -170,15 +177,15 @@
 /// previous one, here that its link was lost, doesn't apply to the new one.
 #[test]
 fn a_new_life_starts_without_what_was_learnt_about_the_previous_one() {
-    let (mut table, mut random) = table();
-    table.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
+    let (mut balancer, mut random) = balancer();
+    balancer.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let mut replaced = member(1, "near", MemberState::Serving);
     replaced.life = Some(BackendLife::untold("new"));
-    table.rebuild("near", [replaced].iter());
-    let choice = table
+    balancer.rebuild("near", [replaced].iter());
+    let endpoint = balancer
         .pick(at_ms(1), "archive", &[], false, &mut random)
         .unwrap();
-    assert_eq!(choice.life, Some(BackendLife::untold("new")));
+    assert_eq!(endpoint.life, Some(BackendLife::untold("new")));
 }
 
 /// A backend server joins a service whose others run calls in 22 ms and have some in progress.
@@ -187,9 +194,9 @@
 /// any.
 #[test]
 fn a_backend_server_that_has_joined_is_called_at_once() {
-    let (mut table, mut random) = table();
+    let (mut balancer, mut random) = balancer();
     for host in [1, 2] {
-        table.on_ended(
+        balancer.on_ended(
             at_ms(0),
             address(host),
             EndpointResult::Answered,
@@ -199,17 +206,17 @@
     let members: Vec<MemberRecord> = [1, 2, 4]
         .map(|host| member(host, "near", MemberState::Serving))
         .into();
-    table.rebuild("near", members.iter());
+    balancer.rebuild("near", members.iter());
     let mut calls_count = 0;
     for call in 0..30 {
-        let choice = table
+        let endpoint = balancer
             .pick(at_ms(call), "archive", &[], false, &mut random)
             .unwrap();
-        calls_count += u32::from(choice.control == address(4));
-        let report = (choice.control != address(4)).then(|| report(4, 22));
-        table.on_ended(
+        calls_count += u32::from(endpoint.control == address(4));
+        let report = (endpoint.control != address(4)).then(|| report(4, 22));
+        balancer.on_ended(
             at_ms(call),
-            choice.control,
+            endpoint.control,
             EndpointResult::Answered,
             report,
         );
@@ -218,21 +225,21 @@
 }
 
 /// A host stops answering. It gets no calls until it has answered again, however long that
-/// takes, and then gets them at once. For an unknown host, the table reports that there is no
-/// such target.
+/// takes, and then gets them at once. For an unknown host, the load balancer reports that it has no
+/// such endpoint.
 #[test]
 fn an_unreachable_host_gets_no_calls_until_it_answers() {
-    let (mut table, mut random) = table();
-    assert!(table.mark_unreachable(address(1)));
-    assert!(!table.mark_unreachable(address(99)));
+    let (mut balancer, mut random) = balancer();
+    assert!(balancer.mark_unreachable(address(1)));
+    assert!(!balancer.mark_unreachable(address(99)));
     for call in 0..50 {
-        let choice = table.pick(at_ms(call * 200), "archive", &[], false, &mut random);
-        assert_ne!(choice.unwrap().control, address(1));
+        let endpoint = balancer.pick(at_ms(call * 200), "archive", &[], false, &mut random);
+        assert_ne!(endpoint.unwrap().control, address(1));
     }
-    table.mark_reachable(address(1));
+    balancer.mark_reachable(address(1));
     let excluded = [address(2), address(3)];
-    let choice = table.pick(at_ms(10_000), "archive", &excluded, false, &mut random);
-    assert_eq!(choice.unwrap().control, address(1));
+    let endpoint = balancer.pick(at_ms(10_000), "archive", &excluded, false, &mut random);
+    assert_eq!(endpoint.unwrap().control, address(1));
 }
 
 /// The only backend server of the own data centre becomes twelve times slower while it has idle
@@ -240,53 +247,53 @@
 /// recovered.
 #[test]
 fn a_slow_backend_server_in_the_own_data_centre_is_avoided() {
-    let (mut table, mut random) = table();
+    let (mut balancer, mut random) = balancer();
     let members = [
         member(1, "near", MemberState::Serving),
         member(3, "far", MemberState::Serving),
     ];
-    table.rebuild("near", members.iter());
-    let mut choose_with = |work_ms| {
-        table.on_ended(
+    balancer.rebuild("near", members.iter());
+    let mut pick_with = |run_time_ms| {
+        balancer.on_ended(
             at_ms(0),
             address(3),
             EndpointResult::Answered,
             Some(report(2, 100)),
         );
-        table.on_ended(
+        balancer.on_ended(
             at_ms(0),
             address(1),
             EndpointResult::Answered,
-            Some(report(3, work_ms)),
+            Some(report(3, run_time_ms)),
         );
-        let choice = table
+        let endpoint = balancer
             .pick(at_ms(1), "archive", &[], false, &mut random)
             .unwrap();
-        table.on_ended(at_ms(1), choice.control, EndpointResult::Cancelled, None);
-        choice.control
+        balancer.on_ended(at_ms(1), endpoint.control, EndpointResult::Cancelled, None);
+        endpoint.control
     };
-    assert_eq!(choose_with(200), address(1));
-    assert_eq!(choose_with(1_200), address(3));
-    assert_eq!(choose_with(100), address(1));
+    assert_eq!(pick_with(200), address(1));
+    assert_eq!(pick_with(1_200), address(3));
+    assert_eq!(pick_with(100), address(1));
 }
 
-/// A table with eight hosts, all in another data centre.
-fn eight() -> (LoadBalancer, StdRng) {
+/// A load balancer with eight hosts, all in another data centre.
+fn eight_hosts() -> (LoadBalancer, StdRng) {
     let members = (1..=8).map(|host| member(host, "far", MemberState::Serving));
     let members: Vec<MemberRecord> = members.collect();
-    let mut table = LoadBalancer::default();
-    table.rebuild("near", members.iter());
-    (table, StdRng::seed_from_u64(7))
+    let mut balancer = LoadBalancer::default();
+    balancer.rebuild("near", members.iter());
+    (balancer, StdRng::seed_from_u64(7))
 }
 
 /// The gate of a host reports its run time and the share of runs that fail there.
-fn report_failures(table: &mut LoadBalancer, host: u8, work_ms: u32, failed_ratio: f64) {
+fn report_failures(balancer: &mut LoadBalancer, host: u8, run_time_ms: u32, failed_ratio: f64) {
     let failed_permille = (failed_ratio * 1_000.0) as u16;
     let report = GateReport {
         failed_permille,
-        ..report(2, work_ms)
+        ..report(2, run_time_ms)
     };
-    end_call(table, host, EndpointResult::Answered, report);
+    end_call(balancer, host, EndpointResult::Answered, report);
 }
 
 /// One backend server of eight fails each run while it reports that it is healthy, and looks
@@ -295,34 +302,34 @@
 /// which shows when it has recovered.
 #[test]
 fn a_server_that_fails_more_than_its_peers_gets_only_probes() {
-    let (mut table, mut random) = eight();
+    let (mut balancer, mut random) = eight_hosts();
     for host in 2..=8 {
-        report_failures(&mut table, host, 44, 0.02);
+        report_failures(&mut balancer, host, 44, 0.02);
     }
-    report_failures(&mut table, 1, 44, 0.9);
-    assert!(table.is_ejected("archive", address(1)));
+    report_failures(&mut balancer, 1, 44, 0.9);
+    assert!(balancer.is_ejected("archive", address(1)));
     let mut calls_count = 0;
     for _ in 0..20_000 {
-        let choice = table.pick(at_ms(0), "archive", &[], true, &mut random);
-        let control = choice.unwrap().control;
+        let endpoint = balancer.pick(at_ms(0), "archive", &[], true, &mut random);
+        let control = endpoint.unwrap().control;
         calls_count += u32::from(control == address(1));
-        table.on_ended(at_ms(0), control, EndpointResult::Cancelled, None);
+        balancer.on_ended(at_ms(0), control, EndpointResult::Cancelled, None);
     }
     assert!((10..=100).contains(&calls_count), "{calls_count} of 20000");
-    report_failures(&mut table, 1, 44, 0.05);
-    assert!(!table.is_ejected("archive", address(1)));
+    report_failures(&mut balancer, 1, 44, 0.05);
+    assert!(!balancer.is_ejected("archive", address(1)));
 }
 
 /// A call that must not run twice is never used as a probe.
 #[test]
 fn a_call_that_must_not_be_repeated_is_no_probe() {
-    let (mut table, mut random) = eight();
-    report_failures(&mut table, 1, 44, 0.9);
+    let (mut balancer, mut random) = eight_hosts();
+    report_failures(&mut balancer, 1, 44, 0.9);
     for _ in 0..5_000 {
-        let choice = table.pick(at_ms(0), "archive", &[], false, &mut random);
-        let control = choice.unwrap().control;
+        let endpoint = balancer.pick(at_ms(0), "archive", &[], false, &mut random);
+        let control = endpoint.unwrap().control;
         assert_ne!(control, address(1));
-        table.on_ended(at_ms(0), control, EndpointResult::Cancelled, None);
+        balancer.on_ended(at_ms(0), control, EndpointResult::Cancelled, None);
     }
 }
 
@@ -330,32 +337,32 @@
 /// ejected, the others would get their load.
 #[test]
 fn no_server_is_ejected_when_most_of_the_service_fails() {
-    let (mut table, _) = eight();
+    let (mut balancer, _) = eight_hosts();
     for host in 1..=6 {
-        report_failures(&mut table, host, 44, 0.8);
+        report_failures(&mut balancer, host, 44, 0.8);
     }
-    assert!((1..=8).all(|host| !table.is_ejected("archive", address(host))));
+    assert!((1..=8).all(|host| !balancer.is_ejected("archive", address(host))));
 }
 
 /// Three of eight fail, and a third of eight, rounded down, is two.
 #[test]
 fn at_most_a_third_of_a_service_is_ejected() {
-    let (mut table, _) = eight();
+    let (mut balancer, _) = eight_hosts();
     for host in 1..=3 {
-        report_failures(&mut table, host, 44, 0.8);
+        report_failures(&mut balancer, host, 44, 0.8);
     }
-    let out = (1..=8).filter(|host| table.is_ejected("archive", address(*host)));
-    assert_eq!(out.count(), 2);
+    let ejected = (1..=8).filter(|host| balancer.is_ejected("archive", address(*host)));
+    assert_eq!(ejected.count(), 2);
 }
 
 /// Only the failing server is left to try.
 #[test]
-fn a_failing_server_is_chosen_if_there_is_no_other() {
-    let (mut table, mut random) = eight();
-    report_failures(&mut table, 1, 44, 0.9);
+fn a_failing_server_is_picked_if_there_is_no_other() {
+    let (mut balancer, mut random) = eight_hosts();
+    report_failures(&mut balancer, 1, 44, 0.9);
     let excluded: Vec<SocketAddr> = (2..=8).map(address).collect();
-    let choice = table.pick(at_ms(0), "archive", &excluded, false, &mut random);
-    assert_eq!(choice.unwrap().control, address(1));
+    let endpoint = balancer.pick(at_ms(0), "archive", &excluded, false, &mut random);
+    assert_eq!(endpoint.unwrap().control, address(1));
 }
 
 /// A report of a backend server that takes `per_s` calls a second, and the next in `wait_ms`.
@@ -374,30 +381,35 @@
 /// servers get the rest.
 #[test]
 fn a_server_with_a_low_rate_limit_gets_few_calls() {
-    let (mut table, mut random) = table();
+    let (mut balancer, mut random) = balancer();
     for host in [1, 2, 3] {
-        end_call(&mut table, host, EndpointResult::Answered, report(2, 100));
+        end_call(
+            &mut balancer,
+            host,
+            EndpointResult::Answered,
+            report(2, 100),
+        );
     }
     let report = limited_report(2.0, 400);
-    end_call(&mut table, 1, EndpointResult::Answered, report);
-    let counts = calls_by_host(&mut table, &mut random, 100);
+    end_call(&mut balancer, 1, EndpointResult::Answered, report);
+    let counts = calls_by_host(&mut balancer, &mut random, 100);
     assert!(counts.get(&1).is_none_or(|count| *count <= 5), "{counts:?}");
 }
 
 /// A server that has refused a call for its rate limit isn't tried again before it takes the next
 /// one. While all have refused, callers are told the reason at once.
 #[test]
-fn a_server_at_its_rate_limit_is_not_chosen_until_it_takes_the_next_call() {
-    let (mut table, mut random) = table();
+fn a_server_at_its_rate_limit_is_not_picked_until_it_takes_the_next_call() {
+    let (mut balancer, mut random) = balancer();
     for host in [1, 2, 3] {
         let report = limited_report(2.0, 400);
-        end_call(&mut table, host, EndpointResult::RateLimited, report);
+        end_call(&mut balancer, host, EndpointResult::RateLimited, report);
     }
-    let mut choose = |ms| table.pick(at_ms(ms), "archive", &[], false, &mut random);
-    assert_eq!(choose(399), None);
-    assert!(choose(400).is_some());
-    assert!(table.is_rate_limited(at_ms(399), "archive"));
-    assert!(!table.is_rate_limited(at_ms(400), "archive"));
+    let mut pick = |ms| balancer.pick(at_ms(ms), "archive", &[], false, &mut random);
+    assert_eq!(pick(399), None);
+    assert!(pick(400).is_some());
+    assert!(balancer.is_rate_limited(at_ms(399), "archive"));
+    assert!(!balancer.is_rate_limited(at_ms(400), "archive"));
 }
 
 /// The node beside a rate limited backend server is down for a while and restarts. It doesn't know
@@ -405,34 +417,34 @@
 /// call.
 #[test]
 fn calls_to_a_restarted_node_carry_the_known_rate_limit() {
-    let (mut table, mut random) = table();
-    let choose_first_host = |table: &mut LoadBalancer, random: &mut StdRng, ms| {
+    let (mut balancer, mut random) = balancer();
+    let pick_first_host = |balancer: &mut LoadBalancer, random: &mut StdRng, ms| {
         let excluded = [address(2), address(3)];
-        table.pick(at_ms(ms), "archive", &excluded, false, random)
+        balancer.pick(at_ms(ms), "archive", &excluded, false, random)
     };
     assert_eq!(
-        choose_first_host(&mut table, &mut random, 0)
+        pick_first_host(&mut balancer, &mut random, 0)
             .unwrap()
             .known_limit,
         None
     );
     let life = BackendLife::untold("life-1");
-    // The answer arrives while the host is not a target.
+    // The answer arrives while the host is not an endpoint.
     let others = [2, 3].map(|host| member(host, "near", MemberState::Serving));
-    table.rebuild("near", others.iter());
-    table.on_rate_limit(at_ms(0), &life, limited_report(1.6, 0).rate);
+    balancer.rebuild("near", others.iter());
+    balancer.on_rate_limit(at_ms(0), &life, limited_report(1.6, 0).rate);
     let all = [1, 2, 3].map(|host| member(host, "near", MemberState::Serving));
-    table.rebuild("near", all.iter());
-    end_call(&mut table, 1, EndpointResult::GateFull, report(0, 100));
-    let known = choose_first_host(&mut table, &mut random, 2_500)
+    balancer.rebuild("near", all.iter());
+    end_call(&mut balancer, 1, EndpointResult::GateFull, report(0, 100));
+    let known = pick_first_host(&mut balancer, &mut random, 2_500)
         .unwrap()
         .known_limit;
     let known = known.unwrap();
     assert_eq!((known.limit_milli_per_s, known.age_ms), (1_600, 2_500));
     // The backend server answers without a limit.
-    table.on_rate_limit(at_ms(0), &life, None);
+    balancer.on_rate_limit(at_ms(0), &life, None);
     assert_eq!(
-        choose_first_host(&mut table, &mut random, 0)
+        pick_first_host(&mut balancer, &mut random, 0)
             .unwrap()
             .known_limit,
         None
@@ -444,7 +456,7 @@
 /// life.
 #[test]
 fn a_server_that_announced_its_leaving_gets_no_calls() {
-    let (mut table, mut random) = table();
+    let (mut balancer, mut random) = balancer();
     let members = |born_unix_ms: Option<u64>| {
         let mut members = [1, 2, 3].map(|host| member(host, "near", MemberState::Serving));
         let life = members[0].life.as_mut().unwrap();
@@ -455,15 +467,15 @@
         born_unix_ms: Some(7),
         ..BackendLife::untold("life-1")
     };
-    assert!(table.on_leaving(at_ms(0), &life));
-    assert!(!table.on_leaving(at_ms(0), &life));
+    assert!(balancer.on_leaving(at_ms(0), &life));
+    assert!(!balancer.on_leaving(at_ms(0), &life));
     for born in [Some(7), None] {
-        table.rebuild("near", [].into_iter());
-        table.rebuild("near", members(born).iter());
-        let counts = calls_by_host(&mut table, &mut random, 100);
+        balancer.rebuild("near", [].into_iter());
+        balancer.rebuild("near", members(born).iter());
+        let counts = calls_by_host(&mut balancer, &mut random, 100);
         assert_eq!(counts.get(&1), None, "{born:?}");
     }
-    table.rebuild("near", members(Some(8)).iter());
-    let counts = calls_by_host(&mut table, &mut random, 100);
+    balancer.rebuild("near", members(Some(8)).iter());
+    let counts = calls_by_host(&mut balancer, &mut random, 100);
     assert!(counts.contains_key(&1));
 }
