--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -267,7 +267,7 @@
     if node.metrics.take_log_permit(now) {
         let why = format!(
             "{} has capacity for {:.2} of its load (reported {} ms ago, short for {} ms); \
-             admitted: {:.2} of this priority, {admission_probability:.2} of this workspace or route",
+             admitted: {:.2} of this priority, {admission_probability:.2} of this claimant",
             shortage.service,
             shortage.level,
             shortage.age.as_millis(),
--- a/crates/kumquatquayd/src/routed/backend_pool.rs
+++ b/crates/kumquatquayd/src/routed/backend_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the backend server of this host, over HTTP/1.1.
+//! Pool of HTTP/1.1 connections to the backend server of this host.
 
 use std::{
     cell::RefCell,
@@ -17,43 +17,42 @@
 
 use super::http_io::BufferedBody;
 
-/// A host answers its own connection attempts at once.
+/// Timeout of a connection attempt. The backend server is on this host, so a connection is made or
+/// refused at once.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle time for which a connection is used again where the backend server doesn't
-/// say how long it keeps it.
-const UNTOLD_IDLE: Duration = Duration::from_millis(300);
+/// Idle timeout of a connection if the backend server doesn't state its keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What is taken off the idle time that the backend server tells, since its clock
-/// starts before ours and a request must arrive before it ends.
-const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// Time by which the idle timeout is shorter than the stated keep-alive timeout. The backend server
+/// starts to count before the node, and a request must arrive before its timeout ends.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Idle time for which a connection carries a call that must not run twice.
+/// Longest idle time of a connection on which a call is sent that must not run twice.
 ///
-/// A backend server may close an idle connection while a request is on its way;
-/// whether that ran can't be known. A connection that was used just now is not
-/// about to be closed.
-const AT_MOST_ONCE_IDLE: Duration = Duration::from_millis(250);
+/// If the backend server closes an idle connection while a request is in transit, it is unknown
+/// whether the request ran. A recently used connection is not about to be closed.
+const AT_MOST_ONCE_IDLE_LIMIT: Duration = Duration::from_millis(250);
 
-/// Idle connections that are kept.
+/// Idle connections in the pool, at most.
 const IDLE_LIMIT_COUNT: usize = 512;
 
-/// Connections to the backend server.
+/// A pool of connections to the backend server.
 #[derive(Debug)]
 pub(crate) struct BackendPool {
     address: SocketAddr,
-    /// The longest answer that is taken.
+    /// Size limit of an answer's body.
     answer_limit_bytes: usize,
     idle: Rc<RefCell<Vec<Connection>>>,
 }
 
-/// One connection; it closes when it is dropped.
+/// A connection, closed on drop.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<BufferedBody>,
     task: AbortHandle,
     idle_since: Instant,
-    idle_until: Instant,
+    expires_at: Instant,
 }
 
 impl Drop for Connection {
@@ -62,18 +61,18 @@
     }
 }
 
-/// Why the backend server did not answer.
+/// Why a request got no answer from the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendError {
-    /// Nothing listens at its address.
+    /// Nothing listens at the address.
     ConnectionRefused,
-    /// No connection could be made: it did not see the request.
+    /// No connection could be made or the request could not be written, so it did not run.
     Unsent,
-    /// The connection broke, or brought what is no answer.
+    /// The connection failed after the request was sent, or the answer was invalid or too large.
     ConnectionBroken,
 }
 
-/// An answer, whole, and the connection that brought it.
+/// A complete answer, and the connection on which it arrived.
 #[derive(Debug)]
 pub(crate) struct BackendAnswer {
     pub(crate) status: u16,
@@ -84,22 +83,23 @@
 }
 
 impl BackendAnswer {
-    /// Keeps the connection for further requests; the answer's body.
-    pub(crate) fn return_to_pool(self, kept_open: Option<Duration>) -> Bytes {
-        let idle = kept_open.map_or(UNTOLD_IDLE, |kept| kept.saturating_sub(IDLE_MARGIN));
+    /// Returns the connection to the pool, and the body of the answer to the caller.
+    pub(crate) fn return_to_pool(self, keep_alive_timeout: Option<Duration>) -> Bytes {
+        let idle = keep_alive_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| {
+            timeout.saturating_sub(KEEP_ALIVE_MARGIN)
+        });
         let mut connection = self.connection;
         let mut connections = self.idle.borrow_mut();
-        // The library has closed it if the backend server asked for that or sent
-        // bytes beyond the answer.
+        // hyper has closed it if the backend server requested that or sent bytes beyond the answer.
         if !connection.sender.is_closed() && connections.len() < IDLE_LIMIT_COUNT {
             connection.idle_since = Instant::now();
-            connection.idle_until = connection.idle_since + idle;
+            connection.expires_at = connection.idle_since + idle;
             connections.push(connection);
         }
         self.body
     }
 
-    /// Closes the connection.
+    /// Closes the connection, and drops the answer.
     pub(crate) fn close_connection(self) {
         drop(self.connection);
     }
@@ -114,18 +114,19 @@
         }
     }
 
-    /// Closes idle connections that the backend server is about to close.
+    /// Closes the idle connections that are closed by the backend server or whose idle timeout has
+    /// passed.
     pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         let is_usable =
-            |connection: &Connection| !connection.sender.is_closed() && now < connection.idle_until;
+            |connection: &Connection| !connection.sender.is_closed() && now < connection.expires_at;
         self.idle.borrow_mut().retain(is_usable);
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete answer.
     ///
-    /// Dropped before that, it closes the connection, which tells the backend
-    /// server to give the request up.
+    /// If the future is dropped before that, the connection is closed, which tells the backend
+    /// server to cancel the request.
     pub(crate) async fn send(
         &self,
         request: Request<BufferedBody>,
@@ -135,7 +136,7 @@
         while let Some(connection) = self.take_idle(is_idempotent) {
             match self.send_on(connection, request).await {
                 Ok(answer) => return Ok(answer),
-                // Closed while it was idle: nothing of the request was written.
+                // The connection was closed while idle, and nothing of the request was written.
                 Err((_, Some(unsent))) => request = unsent,
                 Err((error, None)) => return Err(error),
             }
@@ -149,12 +150,12 @@
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
-            let is_young = now < connection.idle_since + AT_MOST_ONCE_IDLE;
-            if !is_idempotent && !is_young {
+            let is_recently_used = now < connection.idle_since + AT_MOST_ONCE_IDLE_LIMIT;
+            if !is_idempotent && !is_recently_used {
                 idle.push(connection);
                 return None;
             }
-            let is_usable = now < connection.idle_until && connection.sender.is_ready();
+            let is_usable = now < connection.expires_at && connection.sender.is_ready();
             if is_usable && !connection.sender.is_closed() {
                 return Some(connection);
             }
@@ -175,7 +176,7 @@
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| SendError::Unsent)?;
         let task = tokio::task::spawn_local(async move {
-            // Its end shows at the request that is under way on it.
+            // An error is reported to the request in progress on the connection.
             let _ = connection.await;
         });
         let now = Instant::now();
@@ -183,7 +184,7 @@
             sender,
             task: task.abort_handle(),
             idle_since: now,
-            idle_until: now,
+            expires_at: now,
         })
     }
 
@@ -196,7 +197,7 @@
         let answer =
             answer.map_err(|mut error| (SendError::ConnectionBroken, error.take_message()))?;
         let (head, body) = answer.into_parts();
-        // One without end would fill the memory.
+        // An endless body would exhaust the memory.
         let body = Limited::new(body, self.answer_limit_bytes).collect().await;
         let body = body.map_err(|error| {
             log::debug!(event = "backend_answer_unread"; "{error}");
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -1,4 +1,4 @@
-//! Which route a request is for, and whose it is.
+//! Identifies the route of a request and the workspace of its caller.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,41 +9,41 @@
 
 use super::{count_guard::CountGuard, node::RoutedNode};
 
-/// How long a request waits at most until it is known whether its key is; a read of the store
-/// takes some milliseconds, and a quarter of a second where the store is slow.
-const KEY_PATIENCE: Duration = Duration::from_millis(400);
+/// How long a request with an unknown key waits for a proof that the configuration is the newest.
+/// A read of the store takes a few milliseconds, and 250 ms if the store is slow.
+const KEY_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Requests that may wait for that at the same time. A flood of keys of nobody holds no more
-/// memory than this.
-const KEY_WAITS_LIMIT_COUNT: usize = 64;
+/// Requests that may wait for that at the same time. It bounds the memory that a flood of invalid
+/// keys can occupy.
+const KEY_CHECKS_LIMIT_COUNT: usize = 64;
 
-/// A request whose route and caller are known.
+/// Route and caller of a request.
 pub(crate) struct Identified {
     pub(crate) table: Arc<RouteTable>,
     pub(crate) route: Arc<RouteEntry>,
-    /// The workspace that holds the caller's key.
+    /// The workspace to which the caller's key belongs.
     pub(crate) workspace: Option<Arc<WorkspaceSettings>>,
 }
 
-/// Why a request is refused before anything else is looked at.
+/// Why a request is refused before its body is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdentityRefusal {
     /// No configuration is known yet.
     NoConfiguration,
-    /// No route leads anywhere.
+    /// No route matches.
     NoRoute,
-    /// The route asks for a key and none that can be read was shown.
+    /// The route requires a key, and the request has none that can be parsed.
     NoKey,
-    /// No workspace holds the key.
+    /// The key belongs to no workspace.
     UnknownKey,
-    /// Whether any workspace holds the key isn't known.
+    /// The key is unknown here, but may be valid by a newer configuration.
     UnverifiedKey,
-    /// The key may have been taken away.
+    /// The key was valid, but may have been revoked since.
     NoProof,
 }
 
 impl IdentityRefusal {
-    /// What counters and log lines call it.
+    /// Name in counters and log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -65,55 +65,56 @@
         }
     }
 
-    /// What the caller reads.
+    /// Body of the response.
     pub(crate) fn text(self) -> &'static str {
         match self {
-            Self::NoConfiguration => "no configuration yet\n",
-            Self::NoRoute => "no route\n",
-            Self::NoKey => "this route asks for a key\n",
-            Self::UnknownKey => "this key is not known\n",
-            Self::UnverifiedKey => "whether this key is known is not known yet\n",
-            Self::NoProof => "this node can't tell whether the key is still good\n",
+            Self::NoConfiguration => "no configuration is loaded yet\n",
+            Self::NoRoute => "no route matches\n",
+            Self::NoKey => "this route requires an API key\n",
+            Self::UnknownKey => "unknown API key\n",
+            Self::UnverifiedKey => "this API key could not be verified yet\n",
+            Self::NoProof => "this node cannot verify that the API key is still valid\n",
         }
     }
 }
 
-/// Finds the route of a request and whose it is.
+/// Identifies the route and the caller of a request, waiting for a proof of the configuration where
+/// one is needed.
 ///
-/// A key that isn't known may have been added a moment ago. It is refused for good only by a node
-/// whose configuration is proved to be the newest at the moment of the request.
+/// An unknown key may have been added a moment ago. It is finally refused only if the configuration
+/// is proved to have been the newest when the request arrived.
 pub(crate) async fn identify(
     node: &RoutedNode,
     parts: &Parts,
     key: PresentedKey,
 ) -> Result<Identified, IdentityRefusal> {
-    let read_at = node.boot_time();
-    let found = identify_without_waiting(node, parts, key);
-    let found = match found {
-        Err(IdentityRefusal::UnknownKey) if !is_refused_again(node, key) => {
-            wait_for_proof(node, read_at).await?;
-            let found = identify_without_waiting(node, parts, key);
-            remember_unknown(node, key, &found);
-            found?
+    let received_at = node.boot_time();
+    let identified = identify_without_waiting(node, parts, key);
+    let identified = match identified {
+        Err(IdentityRefusal::UnknownKey) if !is_known_invalid(node, key) => {
+            wait_for_proof(node, received_at).await?;
+            let identified = identify_without_waiting(node, parts, key);
+            remember_unknown(node, key, &identified);
+            identified?
         }
-        found => found?,
+        identified => identified?,
     };
-    if found.workspace.is_some() {
-        let patience = node.startup_wait(&found.route.settings);
-        wait_for(node, patience, || !node.lacks_valid_proof())
+    if identified.workspace.is_some() {
+        let max_wait = node.startup_wait(&identified.route.settings);
+        wait_until(node, max_wait, || !node.lacks_valid_proof())
             .await
             .map_err(|_| IdentityRefusal::NoProof)?;
     }
-    if found.table.version() != node.route_version() {
-        // The proof is one of the configuration that came meanwhile.
+    if identified.table.version() != node.route_version() {
+        // The proof holds for the configuration that came into force meanwhile.
         return identify_without_waiting(node, parts, key);
     }
-    Ok(found)
+    Ok(identified)
 }
 
-/// Whether the key was found to be one of nobody before. Asked again each time, the store would
-/// be flooded by callers who go on with a key that was taken away.
-fn is_refused_again(node: &RoutedNode, key: PresentedKey) -> bool {
+/// Whether a key was found unknown before. Without this, callers that keep using a revoked key
+/// would flood the store with reads.
+fn is_known_invalid(node: &RoutedNode, key: PresentedKey) -> bool {
     let unknown_keys = node.unknown_keys.borrow();
     let PresentedKey::Present(key) = key else {
         return false;
@@ -124,14 +125,14 @@
 fn remember_unknown(
     node: &RoutedNode,
     key: PresentedKey,
-    found: &Result<Identified, IdentityRefusal>,
+    identified: &Result<Identified, IdentityRefusal>,
 ) {
-    if let (PresentedKey::Present(key), Err(IdentityRefusal::UnknownKey)) = (key, found) {
+    if let (PresentedKey::Present(key), Err(IdentityRefusal::UnknownKey)) = (key, identified) {
         node.unknown_keys.borrow_mut().insert(node.now(), key);
     }
 }
 
-/// Finds out the same by the configuration in force, whether that is the newest or not.
+/// Identifies route and caller by the configuration in force, whether that is the newest or not.
 pub(crate) fn identify_without_waiting(
     node: &RoutedNode,
     parts: &Parts,
@@ -153,7 +154,7 @@
     })
 }
 
-/// The route of a request.
+/// Finds the route of a request by its host and path.
 pub(crate) fn find_route<'a>(
     table: &'a RouteTable,
     headers: &HeaderMap,
@@ -165,30 +166,31 @@
     table.find(host, uri.path())
 }
 
-/// Waits until the configuration in force is proved to be as new as a moment.
+/// Waits until the configuration in force is proved to have been the newest at a moment.
 async fn wait_for_proof(node: &RoutedNode, moment: Duration) -> Result<(), IdentityRefusal> {
-    if node.key_waits_count.get() >= KEY_WAITS_LIMIT_COUNT {
+    if node.key_waits_count.get() >= KEY_CHECKS_LIMIT_COUNT {
         return Err(IdentityRefusal::UnverifiedKey);
     }
-    let _waits = CountGuard::new(&node.key_waits_count);
+    let _guard = CountGuard::new(&node.key_waits_count);
     node.request_proof();
-    let proved = wait_for(node, KEY_PATIENCE, || node.proof_covers(moment)).await;
+    let proved = wait_until(node, KEY_CHECK_TIMEOUT, || node.proof_covers(moment)).await;
     proved.map_err(|_| IdentityRefusal::UnverifiedKey)
 }
 
-/// Waits for a proof after which something is true; without time to wait it is looked at once.
-async fn wait_for(
+/// Waits until a condition holds, checking it at once and after each new proof, for `max_wait` at
+/// most.
+async fn wait_until(
     node: &RoutedNode,
-    patience: Duration,
-    is_true: impl Fn() -> bool,
+    max_wait: Duration,
+    condition: impl Fn() -> bool,
 ) -> Result<(), Elapsed> {
-    tokio::time::timeout(patience, async {
+    tokio::time::timeout(max_wait, async {
         loop {
-            let news = node.proof_updated.notified();
-            if is_true() {
+            let updated = node.proof_updated.notified();
+            if condition() {
                 return;
             }
-            news.await;
+            updated.await;
         }
     })
     .await
