--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -1,10 +1,11 @@
-//! The requests of one caller's connection, between the socket and the HTTP library.
+//! Pipelining on a caller's connection, between the socket and the HTTP library.
 //!
-//! The library reads the next request once the answer before is written. What the caller
-//! sends meanwhile is read here and passed on to it one request at a time; whole requests
-//! that may run again are started at once, and when the library reaches one, its answer is
-//! already under way. The library decides what each request is: one that it reads otherwise
-//! than it was started is run as the library reads it.
+//! The HTTP library reads the next request only once the previous answer is written. Bytes that
+//! the caller sends meanwhile are buffered here and forwarded to the library one request at a
+//! time. Complete requests that are idempotent are started at once, so that their answers are
+//! in progress when the library reads them. The library decides what each request is: if it
+//! reads a request differently from how it was started here, the request is run again as the
+//! library reads it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,87 +23,88 @@
     entry::CallerBody,
     http_io::{BufferedBody, CallerAddress},
     node::{RoutedNode, StopPhase},
-    request_frame::{Framing, RequestFrame, frame_request, has_head_end, read_whole_request},
+    request_frame::{Framing, RequestFrame, frame_request, has_head_end, parse_complete_request},
     started_request::{HeldBytesGuard, InFlightGuard, StartedRequest},
 };
 
-/// What a connection may have under way behind the request that is answered next.
-const LIMITS: PipelineLimits = PipelineLimits {
+/// Limits for started requests and their answers behind the request that is answered next.
+const PIPELINE_LIMITS: PipelineLimits = PipelineLimits {
     started_count: 32,
     held_bytes: 1024 * 1024,
 };
 
-/// Bytes of requests that are read before their turn.
-const AHEAD_LIMIT_BYTES: usize = 64 * 1024;
+/// Limit for buffered bytes of requests that the HTTP library hasn't read.
+const READ_AHEAD_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Bodies above this are passed on as they come, and nothing is started beside them.
-const SMALL_BODY_BYTES: u64 = 16 * 1024;
+/// Largest body of a request that is buffered. Larger bodies are streamed, and no other
+/// requests are started beside them.
+const BUFFERED_BODY_LIMIT_BYTES: u64 = 16 * 1024;
 
-/// Room for bytes that a connection keeps while it has none.
-const KEPT_BYTES: usize = 4 * 1024;
+/// Largest buffer that is kept while it is empty.
+const KEPT_BUFFER_BYTES: usize = 4 * 1024;
 
-/// One caller's connection.
+/// A caller's connection with its buffered bytes and started requests.
 pub(crate) struct CallerConnection {
     pub(crate) node: Rc<RoutedNode>,
     caller: Option<SocketAddr>,
-    /// Bytes of a head that the HTTP library takes.
+    /// Limit of the HTTP library for the size of a request head.
     head_limit_bytes: usize,
-    state: RefCell<RowState>,
-    /// Bytes of answers that wait for their turn.
+    state: RefCell<PipelineState>,
+    /// Size of the answers to started requests that wait for their turn.
     held_bytes: Rc<Cell<usize>>,
-    /// The request that is answered now; it counts until its answer is written.
+    /// Counts the request that is being answered, until its answer is written.
     in_flight: RefCell<Option<InFlightGuard>>,
-    /// The answer that is being written.
+    /// Counts the bytes of the answer that is being written.
     writing: RefCell<Option<HeldBytesGuard>>,
     /// Whether the caller has closed the connection.
     caller_left: Cell<bool>,
 }
 
-struct RowState {
-    /// Bytes that the HTTP library has not got yet.
+struct PipelineState {
+    /// Bytes that haven't been forwarded to the HTTP library.
     unread: BytesMut,
-    /// How many of them, from the first one on, are of requests that were started.
+    /// Number of these bytes that belong to started requests; they come first.
     started_bytes: usize,
-    /// What the request behind those lacked when it was looked at last.
+    /// What the first request after those lacked when it was last parsed.
     missing: Missing,
     phase: Phase,
-    /// The request that is passed on or answered.
+    /// Frame of the request that is being forwarded or answered.
     frame: RequestFrame,
-    row: RequestPipeline<StartedRequest>,
+    pipeline: RequestPipeline<StartedRequest>,
 }
 
-/// How far the HTTP library is with a request.
+/// Progress of the HTTP library with the current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It waits for the next one.
-    Between,
-    /// It has got a part of it.
-    Passing { left_bytes: u64, is_reached: bool },
-    /// It has got all of it and has not read it.
-    Passed,
-    /// It has read it, and waits for the answer.
+    /// It waits for the next request.
+    Idle,
+    /// Part of the request has been forwarded.
+    Forwarding { left_bytes: u64, is_head_read: bool },
+    /// All of the request has been forwarded, but its head hasn't been read.
+    Forwarded,
+    /// It has read the request and waits for the answer.
     Answering,
-    /// It gets all bytes as they come, since it can't be told where a request ends.
-    Blind,
+    /// All bytes are forwarded as they arrive, since the ends of requests aren't known.
+    PassThrough,
 }
 
-/// What a request lacked when it was looked at last.
+/// What a request lacked when it was last parsed.
 ///
-/// Read anew with each piece, a head that comes byte by byte would cost the square of its
-/// length.
+/// It avoids parsing the head again for each chunk: a head that arrives byte by byte would take
+/// quadratic time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Missing {
-    /// It was not looked at.
+    /// It hasn't been parsed.
     Unknown,
-    /// The end of its head, which is not among the first so many unread bytes.
+    /// The end of its head isn't among the first `seen_bytes` unread bytes.
     HeadEnd { seen_bytes: usize },
-    /// Bytes before there are so many unread ones.
+    /// Its body isn't complete before there are `least_bytes` unread bytes.
     Body { least_bytes: usize },
 }
 
 impl Missing {
-    /// Whether it may be there now.
-    fn may_be_there(self, unread: &[u8]) -> bool {
+    /// Whether the request may be complete now, so that it is worth parsing again.
+    fn may_be_complete(self, unread: &[u8]) -> bool {
         match self {
             Self::Unknown => true,
             Self::HeadEnd { seen_bytes } => has_head_end(unread, seen_bytes),
@@ -110,8 +112,8 @@
         }
     }
 
-    /// The first unread bytes were passed on.
-    fn pass(&mut self, bytes_count: usize) {
+    /// Adjusts the counts after the first unread bytes were forwarded.
+    fn on_forwarded(&mut self, bytes_count: usize) {
         match self {
             Self::Unknown => {}
             Self::HeadEnd { seen_bytes: bytes } | Self::Body { least_bytes: bytes } => {
@@ -121,49 +123,49 @@
     }
 }
 
-/// What the HTTP library gets when it asks for bytes.
+/// What a read of the HTTP library does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadAction {
-    /// Bytes that are there, so many at most.
-    Pass(usize),
-    /// Whatever the socket has.
-    PassDirectly,
-    /// Nothing before more bytes came.
+    /// Forwards buffered bytes, up to this many.
+    Forward(usize),
+    /// Forwards bytes directly from the socket.
+    ForwardDirectly,
+    /// Waits for more bytes from the socket.
     Read,
-    /// Nothing now, and so many bytes at most are read ahead.
+    /// Forwards nothing, but buffers up to this many bytes from the socket.
     ReadAhead(usize),
-    /// Nothing now.
+    /// Neither forwards nor buffers bytes.
     Wait,
 }
 
-/// How the request that the HTTP library has reached is answered.
+/// Where the request and its answer come from when the HTTP library has read a head.
 pub(crate) enum RequestSource {
-    /// It was started.
+    /// The request was started earlier.
     Started(StartedRequest),
-    /// Its body is small and there as a whole.
-    Whole,
-    /// Its body comes.
+    /// The body of the request is small and completely buffered.
+    Buffered,
+    /// The body of the request is streamed.
     Streamed,
 }
 
 impl CallerConnection {
     pub(crate) fn new(node: Rc<RoutedNode>, caller: Option<SocketAddr>) -> Rc<Self> {
         let phase = if node.is_on(Mechanism::Pipelining) {
-            Phase::Between
+            Phase::Idle
         } else {
-            Phase::Blind
+            Phase::PassThrough
         };
         Rc::new(Self {
             head_limit_bytes: node.head_limit_bytes(),
             node,
             caller,
-            state: RefCell::new(RowState {
+            state: RefCell::new(PipelineState {
                 unread: BytesMut::new(),
                 started_bytes: 0,
                 missing: Missing::Unknown,
                 phase,
                 frame: RequestFrame::default(),
-                row: RequestPipeline::new(LIMITS),
+                pipeline: RequestPipeline::new(PIPELINE_LIMITS),
             }),
             held_bytes: Rc::default(),
             in_flight: RefCell::default(),
@@ -176,31 +178,31 @@
         self.head_limit_bytes
     }
 
-    /// What the HTTP library gets now that it asks for bytes.
-    pub(crate) fn read_step(&self) -> ReadAction {
+    /// Returns what a read of the HTTP library does now.
+    pub(crate) fn read_action(&self) -> ReadAction {
         let mut state = self.state.borrow_mut();
         loop {
             let unread_bytes = state.unread.len();
             match state.phase {
-                Phase::Blind if unread_bytes == 0 => return ReadAction::PassDirectly,
-                Phase::Blind => return ReadAction::Pass(unread_bytes),
-                Phase::Between | Phase::Passing { .. } if unread_bytes == 0 => {
+                Phase::PassThrough if unread_bytes == 0 => return ReadAction::ForwardDirectly,
+                Phase::PassThrough => return ReadAction::Forward(unread_bytes),
+                Phase::Idle | Phase::Forwarding { .. } if unread_bytes == 0 => {
                     return ReadAction::Read;
                 }
-                Phase::Between => {
-                    if !self.begin_to_pass(&mut state) {
+                Phase::Idle => {
+                    if !self.begin_forwarding(&mut state) {
                         return ReadAction::Read;
                     }
                 }
-                Phase::Passing { left_bytes, .. } => {
+                Phase::Forwarding { left_bytes, .. } => {
                     let left_bytes = usize::try_from(left_bytes).unwrap_or(usize::MAX);
-                    return ReadAction::Pass(left_bytes.min(unread_bytes));
+                    return ReadAction::Forward(left_bytes.min(unread_bytes));
                 }
-                // The HTTP library asks for more of a request that seemed to be whole.
-                Phase::Passed => self.doubt(&mut state),
+                // The HTTP library wants more bytes of a request that seemed to be complete.
+                Phase::Forwarded => self.disable_pipelining(&mut state),
                 Phase::Answering => {
-                    self.start_behind(&mut state);
-                    return match AHEAD_LIMIT_BYTES.saturating_sub(unread_bytes) {
+                    self.start_buffered(&mut state);
+                    return match READ_AHEAD_LIMIT_BYTES.saturating_sub(unread_bytes) {
                         0 => ReadAction::Wait,
                         room_bytes => ReadAction::ReadAhead(room_bytes),
                     };
@@ -209,61 +211,62 @@
         }
     }
 
-    /// Takes in bytes from the socket.
+    /// Buffers bytes from the socket.
     pub(crate) fn on_read(&self, bytes: &[u8]) {
         self.state.borrow_mut().unread.extend_from_slice(bytes);
     }
 
-    /// The socket has no more bytes. Whether those that are there are still passed on.
+    /// Handles the end of the socket's stream; returns whether buffered bytes are still to be
+    /// forwarded.
     pub(crate) fn on_end(&self) -> bool {
         self.caller_left.set(true);
         let mut state = self.state.borrow_mut();
-        let has_part = state.phase == Phase::Between && !state.unread.is_empty();
+        let has_part = state.phase == Phase::Idle && !state.unread.is_empty();
         if has_part {
-            state.phase = Phase::Blind;
+            state.phase = Phase::PassThrough;
         }
         has_part
     }
 
-    /// Hands the next bytes, as many as fit, to the HTTP library.
-    pub(crate) fn pass(&self, bytes_count: usize, take: impl FnOnce(&[u8])) {
+    /// Forwards the first `bytes_count` buffered bytes to the HTTP library.
+    pub(crate) fn forward(&self, bytes_count: usize, take: impl FnOnce(&[u8])) {
         let mut state = self.state.borrow_mut();
         take(&state.unread[..bytes_count]);
         state.unread.advance(bytes_count);
-        state.missing.pass(bytes_count);
-        if state.unread.is_empty() && state.unread.capacity() > KEPT_BYTES {
+        state.missing.on_forwarded(bytes_count);
+        if state.unread.is_empty() && state.unread.capacity() > KEPT_BUFFER_BYTES {
             state.unread = BytesMut::new();
         }
-        if let Phase::Passing {
+        if let Phase::Forwarding {
             left_bytes,
-            is_reached,
+            is_head_read,
         } = state.phase
         {
             state.phase = match left_bytes - bytes_count as u64 {
-                0 if is_reached => Phase::Answering,
-                0 => Phase::Passed,
-                left_bytes => Phase::Passing {
+                0 if is_head_read => Phase::Answering,
+                0 => Phase::Forwarded,
+                left_bytes => Phase::Forwarding {
                     left_bytes,
-                    is_reached,
+                    is_head_read,
                 },
             };
         }
     }
 
-    /// Begins to pass on the request at the start of the bytes, unless its head isn't there.
-    fn begin_to_pass(&self, state: &mut RowState) -> bool {
-        if let Some(started) = state.row.next_started() {
-            let whole_bytes = started.size_bytes;
-            state.started_bytes -= whole_bytes;
-            state.phase = Phase::Passing {
-                left_bytes: whole_bytes as u64,
-                is_reached: false,
+    /// Begins to forward the next request; returns whether its head is complete.
+    fn begin_forwarding(&self, state: &mut PipelineState) -> bool {
+        if let Some(started) = state.pipeline.next_started() {
+            let size_bytes = started.size_bytes;
+            state.started_bytes -= size_bytes;
+            state.phase = Phase::Forwarding {
+                left_bytes: size_bytes as u64,
+                is_head_read: false,
             };
             return true;
         }
         let unread_bytes = state.unread.len();
         let is_short = unread_bytes < self.head_limit_bytes;
-        if is_short && !state.missing.may_be_there(&state.unread) {
+        if is_short && !state.missing.may_be_complete(&state.unread) {
             state.missing = Missing::HeadEnd {
                 seen_bytes: unread_bytes,
             };
@@ -276,172 +279,181 @@
                 };
                 return false;
             }
-            Framing::Partial | Framing::Unclear => state.phase = Phase::Blind,
+            Framing::Partial | Framing::Unclear => state.phase = Phase::PassThrough,
             Framing::Known(frame) => {
                 state.frame = frame;
-                state.phase = Phase::Passing {
-                    left_bytes: frame.whole_bytes(),
-                    is_reached: false,
+                state.phase = Phase::Forwarding {
+                    left_bytes: frame.size_bytes(),
+                    is_head_read: false,
                 };
             }
         }
         true
     }
 
-    /// The HTTP library sees other requests than were seen here: from now on it gets all
-    /// bytes as they come.
-    fn doubt(&self, state: &mut RowState) {
-        if state.phase == Phase::Blind {
+    /// Ends pipelining on this connection, since the HTTP library reads other requests than
+    /// were parsed here. From now on all bytes are forwarded as they arrive.
+    fn disable_pipelining(&self, state: &mut PipelineState) {
+        if state.phase == Phase::PassThrough {
             return;
         }
-        state.phase = Phase::Blind;
+        state.phase = Phase::PassThrough;
         state.started_bytes = 0;
-        state.row.abort();
+        state.pipeline.abort();
         let caller = self
             .caller
             .map_or_else(String::new, |caller| caller.to_string());
         self.node.metrics.count("pipelined", "unclear");
         if self.node.metrics.take_log_permit(self.node.now()) {
             log::warn!(event = "pipelining_unclear", caller = caller.as_str();
-                "where a request ended was read in two ways; nothing more is read ahead on this connection");
+                    "the end of a request is ambiguous; pipelining ends on this connection");
         }
     }
 
-    /// Starts the requests that were read ahead and may run beside those before them.
-    fn start_behind(&self, state: &mut RowState) {
-        while self.may_look_behind(state) {
-            let behind = &state.unread[state.started_bytes..];
-            let frame = match frame_request(behind) {
-                Framing::Known(frame) if frame.body_bytes <= SMALL_BODY_BYTES => frame,
+    /// Starts buffered requests that may run beside the requests before them.
+    fn start_buffered(&self, state: &mut PipelineState) {
+        while self.may_read_ahead(state) {
+            let ahead = &state.unread[state.started_bytes..];
+            let frame = match frame_request(ahead) {
+                Framing::Known(frame) if frame.body_bytes <= BUFFERED_BODY_LIMIT_BYTES => frame,
                 Framing::Partial => {
                     let seen_bytes = state.unread.len();
                     state.missing = Missing::HeadEnd { seen_bytes };
                     return;
                 }
-                Framing::Unclear | Framing::Known(_) => return state.row.pause(),
+                Framing::Unclear | Framing::Known(_) => return state.pipeline.pause(),
             };
-            let whole_bytes = frame.whole_bytes() as usize;
-            if behind.len() < whole_bytes {
-                let least_bytes = state.started_bytes + whole_bytes;
+            let size_bytes = frame.size_bytes() as usize;
+            if ahead.len() < size_bytes {
+                let least_bytes = state.started_bytes + size_bytes;
                 state.missing = Missing::Body { least_bytes };
                 return;
             }
-            let request = read_whole_request(&behind[..whole_bytes], frame);
+            let request = parse_complete_request(&ahead[..size_bytes], frame);
             let Some(request) = request.filter(|_| frame.head_bytes <= self.head_limit_bytes)
             else {
-                return state.row.pause();
+                return state.pipeline.pause();
             };
-            let decisive = self.row_request(request.headers(), request.uri(), frame);
-            if !state.row.may_start(decisive) {
+            let pipelined = self.pipelined_request(request.headers(), request.uri(), frame);
+            if !state.pipeline.may_start(pipelined) {
                 return;
             }
             let started = StartedRequest::start(
                 &self.node,
                 self.caller(),
                 request,
-                whole_bytes,
+                size_bytes,
                 Rc::clone(&self.held_bytes),
             );
-            state.row.start(decisive, started);
-            state.started_bytes += whole_bytes;
+            state.pipeline.start(pipelined, started);
+            state.started_bytes += size_bytes;
             state.missing = Missing::Unknown;
         }
     }
 
-    fn may_look_behind(&self, state: &RowState) -> bool {
+    fn may_read_ahead(&self, state: &PipelineState) -> bool {
         state.unread.len() > state.started_bytes
-            && state.missing.may_be_there(&state.unread)
+            && state.missing.may_be_complete(&state.unread)
             && self.node.stop_phase() == StopPhase::Serving
             && self.node.held_answers.get().has_room_for_pipelined()
-            && state.row.can_read_ahead(self.held_bytes.get())
+            && state.pipeline.can_read_ahead(self.held_bytes.get())
     }
 
-    fn row_request(&self, headers: &HeaderMap, uri: &Uri, frame: RequestFrame) -> PipelinedRequest {
+    fn pipelined_request(
+        &self,
+        headers: &HeaderMap,
+        uri: &Uri,
+        frame: RequestFrame,
+    ) -> PipelinedRequest {
         let table = self.node.routes();
         let route = table.as_ref();
         let route = route.and_then(|table| find_route(table, headers, uri));
         PipelinedRequest {
             is_idempotent: route.is_some_and(|route| route.settings.repeat == Repeat::Idempotent),
-            may_close_connection: frame.ends_row,
+            may_close_connection: frame.may_close,
         }
     }
 
-    /// The HTTP library has read the head of the next request.
-    pub(crate) fn reach<B>(&self, request: &Request<B>) -> RequestSource {
+    /// Handles a request whose head the HTTP library has read; returns where its answer comes
+    /// from.
+    pub(crate) fn on_head_read<B>(&self, request: &Request<B>) -> RequestSource {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         match state.phase {
-            Phase::Passed => state.phase = Phase::Answering,
-            Phase::Passing {
+            Phase::Forwarded => state.phase = Phase::Answering,
+            Phase::Forwarding {
                 left_bytes,
-                is_reached: false,
+                is_head_read: false,
             } => {
-                state.phase = Phase::Passing {
+                state.phase = Phase::Forwarding {
                     left_bytes,
-                    is_reached: true,
+                    is_head_read: true,
                 };
             }
-            // Two requests where one was seen.
-            Phase::Between | Phase::Passing { .. } | Phase::Answering => self.doubt(state),
-            Phase::Blind => {}
+            // The HTTP library reads two requests where one was parsed here.
+            Phase::Idle | Phase::Forwarding { .. } | Phase::Answering => {
+                self.disable_pipelining(state)
+            }
+            Phase::PassThrough => {}
         }
         state.missing = Missing::Unknown;
-        if let Some(started) = state.row.advance_to_started() {
+        if let Some(started) = state.pipeline.advance_to_started() {
             return RequestSource::Started(started);
         }
-        let is_whole = match state.phase {
-            Phase::Passing { left_bytes, .. } => left_bytes <= state.unread.len() as u64,
+        let is_complete = match state.phase {
+            Phase::Forwarding { left_bytes, .. } => left_bytes <= state.unread.len() as u64,
             Phase::Answering => true,
-            Phase::Between | Phase::Passed | Phase::Blind => false,
+            Phase::Idle | Phase::Forwarded | Phase::PassThrough => false,
         };
         let has_body = state.frame.body_bytes > 0;
-        let is_small = is_whole && state.frame.body_bytes <= SMALL_BODY_BYTES;
-        let mut decisive = self.row_request(request.headers(), request.uri(), state.frame);
-        decisive.may_close_connection |= !is_small;
-        state.row.advance_to(decisive);
+        let is_small = is_complete && state.frame.body_bytes <= BUFFERED_BODY_LIMIT_BYTES;
+        let mut pipelined = self.pipelined_request(request.headers(), request.uri(), state.frame);
+        pipelined.may_close_connection |= !is_small;
+        state.pipeline.advance_to(pipelined);
         *self.in_flight.borrow_mut() = Some(InFlightGuard::new(&self.node));
         if has_body && is_small {
-            RequestSource::Whole
+            RequestSource::Buffered
         } else {
             RequestSource::Streamed
         }
     }
 
-    /// The request that was reached has its answer. Whether the connection ends with it.
-    pub(crate) fn answered(&self, answer: &Response<BufferedBody>) -> bool {
+    /// Records the answer to the current request; returns whether the connection closes after
+    /// it.
+    pub(crate) fn on_answered(&self, answer: &Response<BufferedBody>) -> bool {
         *self.writing.borrow_mut() = Some(HeldBytesGuard::new(&self.node, answer));
         let mut state = self.state.borrow_mut();
         state.phase = match state.phase {
-            Phase::Answering => Phase::Between,
-            // The HTTP library reads the rest of its body, or closes the connection.
-            _ => Phase::Blind,
+            Phase::Answering => Phase::Idle,
+            // The HTTP library reads the rest of the body, or closes the connection.
+            _ => Phase::PassThrough,
         };
         let is_stopping = self.node.stop_phase() > StopPhase::Serving;
-        state.row.on_answered(is_stopping)
+        state.pipeline.on_answered(is_stopping)
     }
 
-    /// The bytes of the answer have left.
+    /// Ends the accounting of the answer, since all of its bytes are written.
     pub(crate) fn on_written(&self) {
         if self.writing.borrow_mut().take().is_some() {
             *self.in_flight.borrow_mut() = None;
         }
     }
 
-    /// Whether the caller has sent bytes that the HTTP library has not got.
+    /// Whether there are bytes that haven't been forwarded to the HTTP library.
     pub(crate) fn has_unread(&self) -> bool {
         !self.state.borrow().unread.is_empty()
     }
 
-    /// The connection has ended: nothing of it goes on.
+    /// Aborts all started requests at the end of the connection.
     pub(crate) fn end(&self) {
-        self.state.borrow_mut().row.abort();
+        self.state.borrow_mut().pipeline.abort();
         *self.in_flight.borrow_mut() = None;
         *self.writing.borrow_mut() = None;
     }
 
-    /// Whether no request was started that the HTTP library has not reached.
-    pub(crate) fn is_alone(&self) -> bool {
-        self.state.borrow().row.started_count() == 0
+    /// Whether no started request waits for the HTTP library to read it.
+    pub(crate) fn is_pipeline_empty(&self) -> bool {
+        self.state.borrow().pipeline.started_count() == 0
     }
 
     /// Whether the caller has closed the connection.
@@ -449,12 +461,13 @@
         self.caller_left.get()
     }
 
-    /// The caller of this connection, as requests carry it.
+    /// Address of the caller, in the form of a request extension.
     pub(crate) fn caller(&self) -> Option<CallerAddress> {
         self.caller.map(CallerAddress)
     }
 
-    /// The answer of a request that was started, if the HTTP library reads the same one.
+    /// Returns the answer to a started request if the HTTP library has read the same request,
+    /// else the request to run.
     pub(crate) async fn take_started(
         &self,
         started: StartedRequest,
@@ -466,7 +479,7 @@
                 Ok(held.answer)
             }
             Err(request) => {
-                self.doubt(&mut self.state.borrow_mut());
+                self.disable_pipelining(&mut self.state.borrow_mut());
                 *self.in_flight.borrow_mut() = Some(InFlightGuard::new(&self.node));
                 Err(request)
             }
--- a/crates/kumquatquayd/src/routed/pipelining.rs
+++ b/crates/kumquatquayd/src/routed/pipelining.rs
@@ -1,4 +1,4 @@
-//! Serves callers' connections, on which requests may come before the first is answered.
+//! Serves callers' connections, with pipelining of requests.
 
 use std::{
     convert::Infallible,
@@ -32,38 +32,40 @@
     node::{RoutedNode, StopPhase},
 };
 
-/// Bytes that are read from a socket at a time.
-const PIECE_BYTES: usize = 8 * 1024;
+/// Size of a read from a socket.
+const READ_CHUNK_BYTES: usize = 8 * 1024;
 
-/// How long a connection that this node has ended takes bytes that are not read any more.
-/// Closed with bytes unread, it would be reset, and what was answered last could be lost.
-const LINGER: Duration = Duration::from_secs(1);
+/// How long bytes of a caller are discarded after this node has closed the connection. Closing
+/// a socket with unread bytes resets the connection, and the last answer could be lost.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which a caller is asked to come back while too many answers are unread.
-const UNREAD_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of a refusal for too many unread answers.
+const UNREAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a caller may take no byte of an answer that waits for it.
-const WRITE_PATIENCE: Duration = Duration::from_secs(15);
+/// Longest time for which a caller may accept no byte of an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Serves one connection of a caller until it ends or the node stops.
 pub(crate) async fn serve_caller(node: Rc<RoutedNode>, stream: TcpStream) {
-    let row = CallerConnection::new(Rc::clone(&node), stream.peer_addr().ok());
-    let answering = Rc::clone(&row);
+    let caller_connection = CallerConnection::new(Rc::clone(&node), stream.peer_addr().ok());
+    let answering = Rc::clone(&caller_connection);
     let service = service_fn(move |request| {
-        // Known at once: the HTTP library asks for more bytes before it waits for the answer.
-        let turn = answering.reach(&request);
+        // Called before the future is polled: the HTTP library reads more bytes before it waits
+        // for the answer.
+        let turn = answering.on_head_read(&request);
         let answer = answer(Rc::clone(&answering), turn, request);
         async { Ok::<_, Infallible>(answer.await) }
     });
-    let io = RowIo {
+    let io = CallerIo {
         stream,
-        row: Rc::clone(&row),
-        stalled: None,
+        caller_connection: Rc::clone(&caller_connection),
+        write_timer: None,
     };
-    let mut connection = http1_server(row.head_limit_bytes()).serve_connection(io, service);
+    let mut connection =
+        http1_server(caller_connection.head_limit_bytes()).serve_connection(io, service);
     let mut stop = node.stop.subscribe();
-    // One that was accepted in that phase has its request answered with a refusal. Closed
-    // unread, it would tell the caller nothing of when to come back.
+    // A connection that was accepted while the node closes connections gets a refusal. If it
+    // was just closed, its caller wouldn't learn when to retry.
     let is_late = node.stop_phase() >= StopPhase::Closing;
     let closing = async {
         if is_late {
@@ -74,61 +76,64 @@
     tokio::select! {
         _ = &mut connection => {}
         () = closing => {
-            // Otherwise it ends with the last answer that is under way.
-            if row.is_alone() {
+            // Otherwise the connection closes after the last answer that is in progress.
+            if caller_connection.is_pipeline_empty() {
                 Pin::new(&mut connection).graceful_shutdown();
             }
-            // What went wrong on a caller's connection is the caller's to see.
+            // Errors on a caller's connection concern only the caller.
             let _ = (&mut connection).await;
         }
     }
     let stream = connection.into_parts().io.stream;
-    row.end();
-    if !row.caller_left() {
-        linger(stream, row.has_unread()).await;
+    caller_connection.end();
+    if !caller_connection.caller_left() {
+        linger(stream, caller_connection.has_unread()).await;
     }
 }
 
-/// Answers a request that the HTTP library has read.
+/// Answers a request whose head the HTTP library has read.
 async fn answer(
-    row: Rc<CallerConnection>,
+    caller_connection: Rc<CallerConnection>,
     turn: RequestSource,
     mut request: Request<Incoming>,
 ) -> Response<BufferedBody> {
-    if let Some(caller) = row.caller() {
+    if let Some(caller) = caller_connection.caller() {
         request.extensions_mut().insert(caller);
     }
     let mut answer = match turn {
-        RequestSource::Streamed | RequestSource::Whole
-            if !row.node.held_answers.get().has_room() =>
+        RequestSource::Streamed | RequestSource::Buffered
+            if !caller_connection.node.held_answers.get().has_room() =>
         {
-            refuse_for_memory(&row.node)
+            refuse_unread(&caller_connection.node)
         }
         RequestSource::Streamed => {
-            serve_entry(Rc::clone(&row.node), request.map(CallerBody::Left)).await
+            serve_entry(
+                Rc::clone(&caller_connection.node),
+                request.map(CallerBody::Left),
+            )
+            .await
         }
-        RequestSource::Whole => match whole(request).await {
+        RequestSource::Buffered => match read_body(request).await {
             Ok(request) => {
                 let request = request.map(|body| CallerBody::Right(Full::new(body)));
-                serve_entry(Rc::clone(&row.node), request).await
+                serve_entry(Rc::clone(&caller_connection.node), request).await
             }
             Err(answer) => answer,
         },
-        RequestSource::Started(started) => match whole(request).await {
-            Ok(request) => match row.take_started(started, request).await {
+        RequestSource::Started(started) => match read_body(request).await {
+            Ok(request) => match caller_connection.take_started(started, request).await {
                 Ok(answer) => answer,
-                Err(request) => serve_entry(Rc::clone(&row.node), request).await,
+                Err(request) => serve_entry(Rc::clone(&caller_connection.node), request).await,
             },
             Err(answer) => answer,
         },
     };
-    if row.answered(&answer) {
+    if caller_connection.on_answered(&answer) {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
-    if row.has_unread() {
-        // The HTTP library has seen that there are no bytes for it, and asks again when
-        // it is told.
+    if caller_connection.has_unread() {
+        // The HTTP library found no bytes to read and doesn't try again before it is woken.
         poll_fn(|context| {
             context.waker().wake_by_ref();
             Poll::Ready(())
@@ -138,19 +143,23 @@
     answer
 }
 
-/// Refuses a request while callers leave too much unread.
-fn refuse_for_memory(node: &RoutedNode) -> Response<BufferedBody> {
+/// Refuses a request because callers leave too many bytes of answers unread.
+fn refuse_unread(node: &RoutedNode) -> Response<BufferedBody> {
     node.metrics.count("refused", "unread_answers");
     if node.metrics.take_log_permit(node.now()) {
         log::warn!(event = "answers_unread", held_bytes = node.held_answers.get().bytes();
-            "callers leave so much unread that no request is taken");
+                "callers leave too many answers unread; requests are refused");
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    local_answer(status, Some(UNREAD_RETRY), "too much is unread\n")
+    local_answer(
+        status,
+        Some(UNREAD_RETRY_AFTER),
+        "too many answers are unread\n",
+    )
 }
 
-/// The request with its body, or the answer to one whose body is broken.
-async fn whole(request: Request<Incoming>) -> Result<Request<Bytes>, Response<BufferedBody>> {
+/// Reads the body of a request; on failure returns the answer for a broken body.
+async fn read_body(request: Request<Incoming>) -> Result<Request<Bytes>, Response<BufferedBody>> {
     let (parts, body) = request.into_parts();
     match body.collect().await {
         Ok(body) => Ok(Request::from_parts(parts, body.to_bytes())),
@@ -162,9 +171,9 @@
     }
 }
 
-/// Takes what a caller still sends on a connection that has ended, for a while.
+/// Discards what a caller still sends on a closed connection, for up to [`LINGER_TIMEOUT`].
 async fn linger(stream: TcpStream, has_unread: bool) {
-    let mut scratch = [0; PIECE_BYTES];
+    let mut scratch = [0; READ_CHUNK_BYTES];
     let first = stream.try_read(&mut scratch);
     let is_silent = first.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock);
     if is_silent && !has_unread {
@@ -180,69 +189,72 @@
             }
         }
     };
-    let _ = timeout(LINGER, discarding).await;
+    let _ = timeout(LINGER_TIMEOUT, discarding).await;
 }
 
-/// A caller's socket, as the HTTP library sees it: one request at a time.
-struct RowIo {
+/// Socket of a caller as the HTTP library sees it: one request at a time.
+struct CallerIo {
     stream: TcpStream,
-    row: Rc<CallerConnection>,
-    /// Runs while the caller takes nothing.
-    stalled: Option<Pin<Box<Sleep>>>,
+    caller_connection: Rc<CallerConnection>,
+    /// Runs while the caller accepts no bytes.
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl RowIo {
-    /// Ends the connection of a caller who takes nothing for too long: what is held for it
-    /// would be held for good.
-    fn watch_write(
+impl CallerIo {
+    /// Fails a write when the caller has accepted no bytes for too long; its answers would
+    /// otherwise stay in memory forever.
+    fn enforce_write_timeout(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.stalled = None;
+            self.write_timer = None;
             return written;
         }
-        let stalled = &mut self.stalled;
-        let stalled = stalled.get_or_insert_with(|| Box::pin(sleep(WRITE_PATIENCE)));
-        std::task::ready!(stalled.as_mut().poll(context));
-        self.row.node.metrics.count("caller", "stalled");
+        let write_timer = &mut self.write_timer;
+        let write_timer = write_timer.get_or_insert_with(|| Box::pin(sleep(WRITE_TIMEOUT)));
+        std::task::ready!(write_timer.as_mut().poll(context));
+        self.caller_connection
+            .node
+            .metrics
+            .count("caller", "stalled");
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Reads so many bytes at most; how many there were.
-    fn poll_fill(
+    /// Buffers up to `limit_bytes` from the socket; returns how many were read.
+    fn poll_buffer(
         &mut self,
         context: &mut Context<'_>,
         limit_bytes: usize,
     ) -> Poll<io::Result<usize>> {
-        let mut piece = [const { MaybeUninit::uninit() }; PIECE_BYTES];
-        let room = &mut piece[..limit_bytes.min(PIECE_BYTES)];
+        let mut chunk = [const { MaybeUninit::uninit() }; READ_CHUNK_BYTES];
+        let room = &mut chunk[..limit_bytes.min(READ_CHUNK_BYTES)];
         let mut buffer = ReadBuf::uninit(room);
         std::task::ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer))?;
-        self.row.on_read(buffer.filled());
+        self.caller_connection.on_read(buffer.filled());
         Poll::Ready(Ok(buffer.filled().len()))
     }
 
-    /// Hands what the socket has to the HTTP library.
-    fn poll_pass_directly(
+    /// Forwards bytes from the socket directly to the HTTP library.
+    fn poll_forward_directly(
         &mut self,
         context: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut piece = [const { MaybeUninit::uninit() }; PIECE_BYTES];
-        let room = &mut piece[..cursor.remaining().min(PIECE_BYTES)];
+        let mut chunk = [const { MaybeUninit::uninit() }; READ_CHUNK_BYTES];
+        let room = &mut chunk[..cursor.remaining().min(READ_CHUNK_BYTES)];
         let mut buffer = ReadBuf::uninit(room);
         std::task::ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer))?;
         if buffer.filled().is_empty() {
-            self.row.on_end();
+            self.caller_connection.on_end();
         }
         cursor.put_slice(buffer.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Read for RowIo {
+impl Read for CallerIo {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -250,26 +262,27 @@
     ) -> Poll<io::Result<()>> {
         let io = self.get_mut();
         loop {
-            let limit_bytes = match io.row.read_step() {
-                ReadAction::PassDirectly => return io.poll_pass_directly(context, cursor),
-                ReadAction::Pass(bytes_count) => {
+            let limit_bytes = match io.caller_connection.read_action() {
+                ReadAction::ForwardDirectly => return io.poll_forward_directly(context, cursor),
+                ReadAction::Forward(bytes_count) => {
                     let bytes_count = bytes_count.min(cursor.remaining());
-                    io.row.pass(bytes_count, |bytes| cursor.put_slice(bytes));
+                    io.caller_connection
+                        .forward(bytes_count, |bytes| cursor.put_slice(bytes));
                     return Poll::Ready(Ok(()));
                 }
                 ReadAction::Wait => return Poll::Pending,
-                ReadAction::Read => PIECE_BYTES,
+                ReadAction::Read => READ_CHUNK_BYTES,
                 ReadAction::ReadAhead(room_bytes) => room_bytes,
             };
-            let read_bytes = std::task::ready!(io.poll_fill(context, limit_bytes))?;
-            if read_bytes == 0 && !io.row.on_end() {
+            let read_bytes = std::task::ready!(io.poll_buffer(context, limit_bytes))?;
+            if read_bytes == 0 && !io.caller_connection.on_end() {
                 return Poll::Ready(Ok(()));
             }
         }
     }
 }
 
-impl Write for RowIo {
+impl Write for CallerIo {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -277,13 +290,13 @@
     ) -> Poll<io::Result<usize>> {
         let io = self.get_mut();
         let written = Pin::new(&mut io.stream).poll_write(context, bytes);
-        io.watch_write(context, written)
+        io.enforce_write_timeout(context, written)
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let io = self.get_mut();
         std::task::ready!(Pin::new(&mut io.stream).poll_flush(context))?;
-        io.row.on_written();
+        io.caller_connection.on_written();
         Poll::Ready(Ok(()))
     }
 
@@ -302,6 +315,6 @@
     ) -> Poll<io::Result<usize>> {
         let io = self.get_mut();
         let written = Pin::new(&mut io.stream).poll_write_vectored(context, slices);
-        io.watch_write(context, written)
+        io.enforce_write_timeout(context, written)
     }
 }
--- a/crates/kumquatquayd/src/routed/request_frame.rs
+++ b/crates/kumquatquayd/src/routed/request_frame.rs
@@ -1,7 +1,7 @@
-//! Where a request of HTTP/1.1 ends, read ahead of the HTTP library.
+//! Finds the end of an HTTP/1.1 request before the HTTP library reads the request.
 //!
-//! The library decides what a request is; it parses with the same parser and the same
-//! limits. What it and this module could see in two ways is [`Framing::Unclear`] here.
+//! The library decides what a request is; this module uses the same parser with the same
+//! limits. Requests that the two might read differently are [`Framing::Unclear`].
 
 use std::mem::MaybeUninit;
 
@@ -9,66 +9,66 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri, Version};
 use httparse::{EMPTY_HEADER, Header, Status};
 
-/// Fields of a head that the HTTP library takes.
+/// Limit of the HTTP library for the number of header fields.
 const FIELDS_LIMIT_COUNT: usize = 100;
 
-/// The option of a connection that goes on.
+/// Value of the `Connection` field of a connection that stays open.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Bytes of the ends of two lines, less one.
-const LINE_ENDS_BYTES: usize = 3;
+/// Length of the longest head end, `\r\n\r\n`, less one.
+const HEAD_END_OVERLAP_BYTES: usize = 3;
 
-/// What the bytes at the start of a request tell.
+/// Result of parsing the start of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// Its head isn't there as a whole.
+    /// Its head is incomplete.
     Partial,
-    /// Where it ends can't be told, or it is no request.
+    /// It isn't a valid request, or its end isn't certain.
     Unclear,
-    /// Its head is there, and its length is known.
+    /// Its head is complete, and its length is known.
     Known(RequestFrame),
 }
 
-/// The lengths of a request.
+/// Length of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestFrame {
-    /// Bytes of its head.
+    /// Size of the head.
     pub(crate) head_bytes: usize,
-    /// Bytes of its body.
+    /// Size of the body.
     pub(crate) body_bytes: u64,
-    /// Whether the connection may end with its answer.
-    pub(crate) ends_row: bool,
+    /// Whether the connection may close after the answer.
+    pub(crate) may_close: bool,
 }
 
 impl RequestFrame {
-    /// Bytes of all of it.
-    pub(crate) fn whole_bytes(self) -> u64 {
+    /// Size of head and body.
+    pub(crate) fn size_bytes(self) -> u64 {
         self.body_bytes.saturating_add(self.head_bytes as u64)
     }
 }
 
-/// Reads where the request at the start of some bytes ends.
+/// Parses the head at the start of `bytes` to find the end of the request.
 pub(crate) fn frame_request(bytes: &[u8]) -> Framing {
     let mut fields = [const { MaybeUninit::uninit() }; FIELDS_LIMIT_COUNT];
     let mut request = httparse::Request::new(&mut []);
     match request.parse_with_uninit_headers(bytes, &mut fields) {
-        Ok(Status::Complete(head_bytes)) => frame_of(&request, head_bytes),
+        Ok(Status::Complete(head_bytes)) => frame_from_head(&request, head_bytes),
         Ok(Status::Partial) => Framing::Partial,
         Err(_) => Framing::Unclear,
     }
 }
 
-fn frame_of(request: &httparse::Request<'_, '_>, head_bytes: usize) -> Framing {
+fn frame_from_head(request: &httparse::Request<'_, '_>, head_bytes: usize) -> Framing {
     let mut frame = RequestFrame {
         head_bytes,
         body_bytes: 0,
-        ends_row: request.version != Some(1),
+        may_close: request.version != Some(1),
     };
     let mut has_length = false;
     for field in request.headers.iter() {
-        match field_of(field) {
+        match classify_field(field) {
             FrameField::Other => {}
-            FrameField::EndsRow => frame.ends_row = true,
+            FrameField::MayClose => frame.may_close = true,
             FrameField::Length(length) if !has_length => {
                 has_length = true;
                 frame.body_bytes = length;
@@ -82,44 +82,46 @@
     Framing::Known(frame)
 }
 
-/// What a field of a head says of its request's end.
+/// What a header field says about the end of its request.
 enum FrameField {
     Other,
-    EndsRow,
+    MayClose,
     Length(u64),
     Unclear,
 }
 
-fn field_of(field: &Header<'_>) -> FrameField {
+fn classify_field(field: &Header<'_>) -> FrameField {
     let is = |name: &str| field.name.eq_ignore_ascii_case(name);
     match field.name.len() {
-        6 if is("expect") => FrameField::EndsRow,
+        6 if is("expect") => FrameField::MayClose,
         7 if is("upgrade") => FrameField::Unclear,
         10 if is("connection") => {
-            let goes_on = field.value.eq_ignore_ascii_case(KEEP_ALIVE.as_bytes());
-            if goes_on {
+            let is_keep_alive = field.value.eq_ignore_ascii_case(KEEP_ALIVE.as_bytes());
+            if is_keep_alive {
                 FrameField::Other
             } else {
-                FrameField::EndsRow
+                FrameField::MayClose
             }
         }
         14 if is("content-length") => {
-            length_of(field.value).map_or(FrameField::Unclear, FrameField::Length)
+            parse_length(field.value).map_or(FrameField::Unclear, FrameField::Length)
         }
         17 if is("transfer-encoding") => FrameField::Unclear,
         _ => FrameField::Other,
     }
 }
 
-fn length_of(value: &[u8]) -> Option<u64> {
+fn parse_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     let text = str::from_utf8(value).ok().filter(|_| is_number)?;
     text.parse().ok()
 }
 
-/// Whether a head may end behind the first bytes, which were looked at.
+/// Whether a head may end after the first `seen_bytes` bytes, which were searched before.
 pub(crate) fn has_head_end(bytes: &[u8], seen_bytes: usize) -> bool {
-    let from = seen_bytes.saturating_sub(LINE_ENDS_BYTES).min(bytes.len());
+    let from = seen_bytes
+        .saturating_sub(HEAD_END_OVERLAP_BYTES)
+        .min(bytes.len());
     let new = &bytes[from..];
     let mut line_ends = new.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
     line_ends.any(|(end, _)| {
@@ -128,14 +130,14 @@
     })
 }
 
-/// Reads a request that is there as a whole, as the HTTP library would.
-pub(crate) fn read_whole_request(bytes: &[u8], frame: RequestFrame) -> Option<Request<Bytes>> {
+/// Parses a complete request as the HTTP library would.
+pub(crate) fn parse_complete_request(bytes: &[u8], frame: RequestFrame) -> Option<Request<Bytes>> {
     let mut fields = [EMPTY_HEADER; FIELDS_LIMIT_COUNT];
     let mut parsed = httparse::Request::new(&mut fields);
     let Ok(Status::Complete(head_bytes)) = parsed.parse(bytes) else {
         return None;
     };
-    let body = bytes.get(head_bytes..frame.whole_bytes() as usize)?;
+    let body = bytes.get(head_bytes..frame.size_bytes() as usize)?;
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
     for field in parsed.headers.iter() {
         let name = HeaderName::from_bytes(field.name.as_bytes()).ok()?;
