--- a/crates/kumquatquay-core/tests/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_admission.rs
@@ -294,8 +294,8 @@
 }
 
 /// The level oscillates around the room that there is, and in 300 ms of each second it is below
-/// the share of the settlements. If they were refused then, it would be between history requests,
-/// less important, that are admitted before and after.
+/// the share of the settlements. They must not be refused then, since history requests, which are
+/// less important, are admitted before and after.
 #[test]
 fn short_dips_of_a_level_affect_only_the_least_important() {
     let mut admission = admission();
@@ -399,8 +399,8 @@
 
 quickcheck! {
     /// Whatever other nodes report of routes and levels: nothing panics, the call counts that are
-    /// used are finite and not negative, and uploads are admitted, as two sound gates of three
-    /// report that they make no calls.
+    /// used are finite and not negative, and uploads are admitted, as two of three gates report that
+    /// they make no calls.
     fn any_update_leaves_valid_counts(
         updates: Vec<(u8, u32, bool, bool)>,
         level_permille: u16,
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -443,8 +443,8 @@
 macro_rules! holding_gains {
     ($($name:ident: $room:expr, gains $gain:expr;)*) => {$(
         /// Refused callers retry at random times, and many are refused again. With holding, more
-        /// requests are answered in time, the service is not overloaded more than without, a
-        /// third of the refusals is left at most, and hardly any held request is refused or late.
+        /// requests are answered in time, the service isn't overloaded more than without, there
+        /// are at most a third of the refusals, and hardly any held request is refused or late.
         #[test]
         fn $name() {
             for seed in 1..=5 {
--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -22,8 +22,8 @@
 const CALLERS_COUNT: usize = 20;
 const CALLS_COUNT: u32 = 8;
 const SLOTS_COUNT: usize = 33;
-const WORK_MS: u64 = 44;
-const FAILING_WORK_MS: u64 = 1;
+const RUN_TIME_MS: u64 = 44;
+const FAILING_RUN_TIME_MS: u64 = 1;
 
 /// Offered load, as a share of what the seven healthy servers can run.
 const OFFERED_RATIO: f64 = 0.8;
@@ -33,7 +33,7 @@
 const MEASURED_MS: u64 = 8_000;
 
 /// Share of the requests that must be answered.
-const GOAL_RATIO: f64 = 0.85;
+const LEAST_SERVED_RATIO: f64 = 0.85;
 
 fn address(server: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, server as u8 + 1], 7_000))
@@ -77,10 +77,10 @@
     fn new(seed: u64) -> Self {
         let members: Vec<MemberRecord> = (0..SERVERS_COUNT).map(member).collect();
         let callers = (0..CALLERS_COUNT).map(|_| {
-            let mut table = LoadBalancer::default();
-            table.rebuild("near", members.iter());
+            let mut balancer = LoadBalancer::default();
+            balancer.rebuild("near", members.iter());
             let budget = RetryBudget::new(Duration::from_secs(10), 0.07, 2.0);
-            (table, budget)
+            (balancer, budget)
         });
         Self {
             callers: callers.collect(),
@@ -113,7 +113,8 @@
     }
 
     fn request(&mut self, now: Duration) {
-        let calls_per_s = (SERVERS_COUNT - 1) as f64 * SLOTS_COUNT as f64 / WORK_MS as f64 * 1e3;
+        let calls_per_s =
+            (SERVERS_COUNT - 1) as f64 * SLOTS_COUNT as f64 / RUN_TIME_MS as f64 * 1e3;
         let requests_per_s = OFFERED_RATIO * calls_per_s / f64::from(CALLS_COUNT);
         let uniform: f64 = self.random.random_range(1e-9..1.0);
         let next = now + Duration::from_secs_f64(-uniform.ln() / requests_per_s);
@@ -132,12 +133,12 @@
 
     fn send(&mut self, now: Duration, mut call: Call, excluded: &[SocketAddr]) {
         call.attempts_count += 1;
-        let (table, budget) = &mut self.callers[call.caller];
+        let (balancer, budget) = &mut self.callers[call.caller];
         if call.attempts_count == 1 {
             budget.on_requests(now, 1.0);
         }
-        let choice = table.pick(now, "register", excluded, true, &mut self.random);
-        let chosen = choice.unwrap().control;
+        let endpoint = balancer.pick(now, "register", excluded, true, &mut self.random);
+        let chosen = endpoint.unwrap().control;
         let server = (0..SERVERS_COUNT).find(|server| address(*server) == chosen);
         let server = server.unwrap();
         self.servers[server].waiting.push_back(call);
@@ -146,21 +147,25 @@
 
     fn begin(&mut self, now: Duration, server: usize) {
         let fails = server == 0 && now >= at_ms(FAILS_AT_MS);
-        let work_ms = if fails { FAILING_WORK_MS } else { WORK_MS };
+        let run_time_ms = if fails {
+            FAILING_RUN_TIME_MS
+        } else {
+            RUN_TIME_MS
+        };
         while self.servers[server].running_count < SLOTS_COUNT {
             let Some(call) = self.servers[server].waiting.pop_front() else {
                 return;
             };
             self.servers[server].running_count += 1;
-            self.at(now + at_ms(work_ms), Event::Ended { server, call });
+            self.at(now + at_ms(run_time_ms), Event::Ended { server, call });
         }
     }
 
     fn ended(&mut self, now: Duration, server: usize, call: Call) {
         let fails = server == 0 && now >= at_ms(FAILS_AT_MS);
         let report = self.report(now, server, fails);
-        let (table, budget) = &mut self.callers[call.caller];
-        table.on_ended(now, address(server), EndpointResult::Answered, Some(report));
+        let (balancer, budget) = &mut self.callers[call.caller];
+        balancer.on_ended(now, address(server), EndpointResult::Answered, Some(report));
         if !fails {
             let next = Call {
                 done_count: call.done_count + 1,
@@ -173,7 +178,7 @@
                 self.served_count += 1;
             }
         } else if call.attempts_count < 2
-            && table.is_ejected("register", address(server))
+            && balancer.is_ejected("register", address(server))
             && budget.has_room(now, 1.0)
         {
             budget.on_retries(now, 1.0);
@@ -182,8 +187,8 @@
         self.begin(now, server);
     }
 
-    fn report(&mut self, now: Duration, place: usize, fails: bool) -> GateReport {
-        let server = &mut self.servers[place];
+    fn report(&mut self, now: Duration, index: usize, fails: bool) -> GateReport {
+        let server = &mut self.servers[index];
         server.running_count -= 1;
         if fails {
             server.failures.failed(now, now);
@@ -194,7 +199,7 @@
             running_count: server.running_count as u32,
             waiting_count: server.waiting.len() as u32,
             limit_count: SLOTS_COUNT as u32,
-            work_us: (WORK_MS * 1_000) as u32,
+            work_us: (RUN_TIME_MS * 1_000) as u32,
             failed_permille: (server.failures.ratio() * 1_000.0) as u16,
             ..GateReport::default()
         }
@@ -222,6 +227,9 @@
         let mut simulation = Simulation::new(seed);
         simulation.run();
         let served_ratio = f64::from(simulation.served_count) / f64::from(simulation.arrived_count);
-        assert!(served_ratio >= GOAL_RATIO, "seed {seed}: {served_ratio}");
+        assert!(
+            served_ratio >= LEAST_SERVED_RATIO,
+            "seed {seed}: {served_ratio}"
+        );
     }
 }
--- a/crates/kumquatquay-core/tests/routed/fair_shares.rs
+++ b/crates/kumquatquay-core/tests/routed/fair_shares.rs
@@ -21,10 +21,10 @@
         shares.on_request(at_ms(0), &group(), "hot", 1.0, 0.5);
     }
     for _ in 0..9 {
-        shares.on_request(at_ms(0), &group(), "calm", 1.0, 0.5);
+        shares.on_request(at_ms(0), &group(), "normal", 1.0, 0.5);
     }
     assert_eq!(
-        shares.on_request(at_ms(60), &group(), "calm", 1.0, 0.5),
+        shares.on_request(at_ms(60), &group(), "normal", 1.0, 0.5),
         1.0
     );
     let hot = shares.on_request(at_ms(60), &group(), "hot", 1.0, 0.5);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_only_workspace_has_the_common_chance() {
+fn the_only_workspace_has_the_common_probability() {
     let mut shares = FairShares::default();
     for _ in 0..200 {
         shares.on_request(at_ms(0), &group(), "only", 1.0, 0.3);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn without_room_no_workspace_has_a_chance() {
+fn without_room_no_workspace_is_admitted() {
     let mut shares = FairShares::default();
     for claimant in ["a", "b", "a"] {
         assert_eq!(
@@ -52,18 +52,18 @@
     }
 }
 
-/// Claimants and groups beyond those that are remembered also get a valid chance.
+/// Claimants and groups beyond those that are remembered also get a valid admission probability.
 #[test]
-fn any_number_of_claimants_gets_a_valid_chance() {
+fn any_number_of_claimants_gets_a_valid_probability() {
     let mut shares = FairShares::default();
     for claimant in 0..5_000 {
         let name = format!("w{claimant}");
-        let chance = shares.on_request(at_ms(0), &group(), &name, 1.0, 0.5);
-        assert!((0.0..=1.0).contains(&chance));
+        let admission_probability = shares.on_request(at_ms(0), &group(), &name, 1.0, 0.5);
+        assert!((0.0..=1.0).contains(&admission_probability));
     }
-    for rank in 0..5_000 {
+    for priority in 0..5_000 {
         let group = ShareGroup {
-            priority: rank,
+            priority,
             ..group()
         };
         assert!((0.0..=1.0).contains(&shares.on_request(at_ms(0), &group, "w", 1.0, 0.5)));
@@ -73,8 +73,8 @@
 /// How entries choose which requests to admit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// All with the same chance.
-    Chance,
+    /// All with the same admission probability.
+    Uniform,
     /// By fair shares of what each entry has seen itself.
     Shares,
     /// By fair shares of what all entries have seen, which no real entry knows.
@@ -86,10 +86,10 @@
 const HOT: usize = 3;
 const PER_S: f64 = 1_000.0;
 
-/// Refused shares of the requests of calm and of hot workspaces.
+/// Refused shares of the requests of normal and of hot workspaces.
 #[derive(Debug)]
 struct RefusedShares {
-    calm: f64,
+    normal: f64,
     hot: f64,
     /// Admitted requests over those that there was room for.
     used: f64,
@@ -97,7 +97,7 @@
 
 /// Simulates 82 workspaces of different sizes, up to three of which are hot and send `times` times
 /// what they usually do. There is room for what all usually send. Each workspace sends to `spread`
-/// entries. The chance follows the admitted load with a delay of half a second.
+/// entries. The admission probability follows the admitted load with a delay of half a second.
 fn simulate(policy: Policy, seed: u64, times: f64, spread: usize) -> RefusedShares {
     let mut random = StdRng::seed_from_u64(seed);
     let mut entries: Vec<_> = (0..ENTRIES).map(|_| FairShares::default()).collect();
@@ -106,12 +106,12 @@
         .collect();
     let total: f64 = sizes.iter().sum();
     let hot: Vec<usize> = (0..HOT).map(|_| random.random_range(0..20)).collect();
-    let mut chances = VecDeque::from(vec![1.0; 5]);
-    let (mut asked, mut refused) = ([0.0; 2], [0.0; 2]);
+    let mut admission_probabilities = VecDeque::from(vec![1.0; 5]);
+    let (mut offered, mut refused) = ([0.0; 2], [0.0; 2]);
     let (mut admitted, mut load) = (0.0, 1.0);
     for step in 0..200_u32 {
         let now = Duration::from_millis(100) * step;
-        let chance = chances.pop_front().unwrap();
+        let admission_probability = admission_probabilities.pop_front().unwrap();
         let admitted_before = admitted;
         for (workspace, size) in sizes.iter().enumerate() {
             let is_hot = hot.contains(&workspace);
@@ -121,57 +121,62 @@
             for _ in 0..sent {
                 let entry = (workspace * 31 + random.random_range(0..spread)) % ENTRIES;
                 let name = format!("w{workspace}");
-                let own = match policy {
-                    Policy::Chance => chance,
-                    Policy::Shares | Policy::GlobalShares if chance >= 1.0 => 1.0,
+                let own_probability = match policy {
+                    Policy::Uniform => admission_probability,
+                    Policy::Shares | Policy::GlobalShares if admission_probability >= 1.0 => 1.0,
                     Policy::GlobalShares => {
-                        entries[0].on_request(now, &group(), &name, 1.0, chance)
+                        entries[0].on_request(now, &group(), &name, 1.0, admission_probability)
+                    }
+                    Policy::Shares => {
+                        entries[entry].on_request(now, &group(), &name, 1.0, admission_probability)
                     }
-                    Policy::Shares => entries[entry].on_request(now, &group(), &name, 1.0, chance),
                 };
-                let is_refused = random.random::<f64>() >= own;
+                let is_refused = random.random::<f64>() >= own_probability;
                 admitted += f64::from(u8::from(!is_refused));
-                asked[usize::from(is_hot)] += 1.0;
+                offered[usize::from(is_hot)] += 1.0;
                 refused[usize::from(is_hot)] += f64::from(u8::from(is_refused));
             }
         }
         load += 0.4 * ((admitted - admitted_before) / (PER_S / 10.0) - load);
-        let newest = *chances.back().unwrap_or(&chance);
-        let wanted: f64 = chance / load.max(0.1);
-        chances.push_back((newest + 0.2 * (wanted.min(1.0) - newest)).min(1.0));
+        let latest = *admission_probabilities
+            .back()
+            .unwrap_or(&admission_probability);
+        let target: f64 = admission_probability / load.max(0.1);
+        admission_probabilities.push_back((latest + 0.2 * (target.min(1.0) - latest)).min(1.0));
     }
     RefusedShares {
-        calm: refused[0] / asked[0],
-        hot: refused[1] / asked[1],
+        normal: refused[0] / offered[0],
+        hot: refused[1] / offered[1],
         used: admitted / (200.0 * PER_S / 10.0),
     }
 }
 
-/// Three workspaces send 4.5 or 7.5 times what they usually do. Refused by chance, the others would
-/// lose as large a share of their requests as these. By fair shares they lose half of that at the
-/// most, and the room is used as much.
+/// Three workspaces send 4.5 or 7.5 times what they usually do. With the same admission probability
+/// for all, the others would lose as large a share of their requests as these. By fair shares they
+/// lose half of that at the most, and the room is used as much.
 #[test]
-fn hot_workspaces_cost_calm_ones_little() {
+fn normal_workspaces_lose_little_to_hot_ones() {
     for seed in 1..=3 {
         for times in [4.5, 7.5] {
-            let by_chance = simulate(Policy::Chance, seed, times, ENTRIES);
+            let uniform = simulate(Policy::Uniform, seed, times, ENTRIES);
             let by_shares = simulate(Policy::Shares, seed, times, ENTRIES);
             let by_global_shares = simulate(Policy::GlobalShares, seed, times, ENTRIES);
-            assert!(by_global_shares.calm <= by_shares.calm);
-            assert!(by_shares.calm <= 0.5 * by_chance.calm);
+            assert!(by_global_shares.normal <= by_shares.normal);
+            assert!(by_shares.normal <= 0.5 * uniform.normal);
             assert!(by_shares.hot <= 0.8);
-            assert!((by_shares.used - by_chance.used).abs() <= 0.02);
+            assert!((by_shares.used - uniform.used).abs() <= 0.02);
         }
     }
 }
 
 /// Each workspace sends to three entries only, so an entry sees few workspaces and doesn't know
-/// what they send to others. Calm workspaces must not lose more than by chance all the same.
+/// what they send to others. Normal workspaces must not lose more than without fair shares all the
+/// same.
 #[test]
-fn with_few_entries_per_workspace_calm_ones_lose_no_more_than_by_chance() {
+fn normal_workspaces_at_few_entries_lose_no_more_than_without_shares() {
     for seed in 1..=3 {
-        let by_chance = simulate(Policy::Chance, seed, 7.5, 3);
+        let uniform = simulate(Policy::Uniform, seed, 7.5, 3);
         let by_shares = simulate(Policy::Shares, seed, 7.5, 3);
-        assert!(by_shares.calm <= by_chance.calm);
+        assert!(by_shares.normal <= uniform.normal);
     }
 }
--- a/crates/kumquatquay-core/tests/routed/gate_retries.rs
+++ b/crates/kumquatquay-core/tests/routed/gate_retries.rs
@@ -29,17 +29,17 @@
     }
 }
 
-/// Hands a call over until it is served or no further retry is allowed.
-fn hand_over(
+/// Makes attempts at a call until it is served or no further retry is allowed.
+fn attempt(
     retries: &mut GateRetries,
-    at: u64,
+    now_ms: u64,
     is_from_outside: bool,
     rejects: &mut impl FnMut() -> bool,
     counts: &mut Counts,
 ) {
     counts.calls += 1;
-    retries.on_first_attempt(at_ms(at));
-    for hand_overs_count in 1.. {
+    retries.on_first_attempt(at_ms(now_ms));
+    for attempts_count in 1.. {
         let is_rejected = rejects();
         retries.on_result(is_rejected);
         if !is_rejected {
@@ -48,9 +48,9 @@
         }
         let call = RejectedCall {
             is_from_outside,
-            attempts_count: hand_overs_count,
+            attempts_count,
         };
-        if !retries.try_retry(at_ms(at), call) {
+        if !retries.try_retry(at_ms(now_ms), call) {
             return;
         }
         counts.retries += 1;
@@ -65,23 +65,31 @@
 fn single_calls_are_served_while_a_service_sheds() {
     let mut retries = retries();
     let mut random = StdRng::seed_from_u64(1);
-    let (mut outside, mut inner) = (Counts::default(), Counts::default());
-    for at in 0..18_000 {
-        let is_shedding = at >= 10_000;
+    let (mut from_outside, mut from_runs) = (Counts::default(), Counts::default());
+    for now_ms in 0..18_000 {
+        let is_shedding = now_ms >= 10_000;
         let mut rejects = || is_shedding && random.random_bool(0.55);
         for call in 0..3 {
-            let is_from_outside = at % 7 == 0 && call == 0;
+            let is_from_outside = now_ms % 7 == 0 && call == 0;
             let mut warm_up = Counts::default();
             let counts = match (is_shedding, is_from_outside) {
                 (false, _) => &mut warm_up,
-                (true, true) => &mut outside,
-                (true, false) => &mut inner,
+                (true, true) => &mut from_outside,
+                (true, false) => &mut from_runs,
             };
-            hand_over(&mut retries, at, is_from_outside, &mut rejects, counts);
+            attempt(&mut retries, now_ms, is_from_outside, &mut rejects, counts);
         }
     }
-    assert!(outside.served_ratio() > 0.9, "{}", outside.served_ratio());
-    assert!(inner.served_ratio() < 0.5, "{}", inner.served_ratio());
+    assert!(
+        from_outside.served_ratio() > 0.9,
+        "{}",
+        from_outside.served_ratio()
+    );
+    assert!(
+        from_runs.served_ratio() < 0.5,
+        "{}",
+        from_runs.served_ratio()
+    );
 }
 
 /// One call of fifty is rejected. Calls made by runs are retried then, which saves the runs that
@@ -90,12 +98,16 @@
 fn calls_of_runs_are_retried_while_few_are_rejected() {
     let mut retries = retries();
     let mut random = StdRng::seed_from_u64(2);
-    let mut inner = Counts::default();
-    for at in 0..10_000 {
+    let mut from_runs = Counts::default();
+    for now_ms in 0..10_000 {
         let mut rejects = || random.random_bool(0.02);
-        hand_over(&mut retries, at, false, &mut rejects, &mut inner);
+        attempt(&mut retries, now_ms, false, &mut rejects, &mut from_runs);
     }
-    assert!(inner.served_ratio() > 0.995, "{}", inner.served_ratio());
+    assert!(
+        from_runs.served_ratio() > 0.995,
+        "{}",
+        from_runs.served_ratio()
+    );
 }
 
 quickcheck! {
@@ -105,8 +117,8 @@
         let mut counts = Counts::default();
         let mut rejections = rejections.into_iter().cycle();
         let mut rejects = || rejections.next().unwrap_or(true);
-        for at in 0..5_000 {
-            hand_over(&mut retries, at, at % 2 == 0, &mut rejects, &mut counts);
+        for now_ms in 0..5_000 {
+            attempt(&mut retries, now_ms, now_ms % 2 == 0, &mut rejects, &mut counts);
         }
         f64::from(counts.retries) <= RATIO * f64::from(counts.calls)
     }
--- a/crates/kumquatquay-core/tests/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/tests/routed/load_balancer.rs
@@ -397,7 +397,7 @@
 }
 
 /// A server that has refused a call for its rate limit isn't tried again before it takes the next
-/// one. While all have refused, callers are told the reason at once.
+/// one. While all have refused, callers learn the reason at once.
 #[test]
 fn a_server_at_its_rate_limit_is_not_picked_until_it_takes_the_next_call() {
     let (mut balancer, mut random) = balancer();
--- a/crates/kumquatquay-core/tests/routed/run_failures.rs
+++ b/crates/kumquatquay-core/tests/routed/run_failures.rs
@@ -7,11 +7,11 @@
 
 use crate::at_ms;
 
-/// Run time of a run that loses a call.
+/// Run time of a run that fails with one of its calls.
 const RUN_TIME: Duration = Duration::from_millis(50);
 
 /// A backend server fails each run at once. Its reported share of failures must rise within ten
-/// runs, before each caller has lost calls to it.
+/// runs, before calls of each caller have failed.
 #[test]
 fn the_share_of_failures_rises_within_ten_runs() {
     let mut failures = RunFailures::default();
@@ -24,10 +24,10 @@
     assert!(failures.ratio() > 0.25, "{}", failures.ratio());
 }
 
-/// Every second run loses a call that it makes at another service, and fails for that. The server
+/// Every second run fails because a call that it made at another service has failed. The server
 /// that ran it is healthy and must not be ejected.
 #[test]
-fn runs_that_lost_a_call_do_not_count_as_failures() {
+fn runs_that_fail_with_a_call_do_not_count_as_failures() {
     let mut failures = RunFailures::default();
     for run in 0..200 {
         let now = at_ms(run * 10) + RUN_TIME;
@@ -41,10 +41,10 @@
     assert!(failures.ratio() < 0.01, "{}", failures.ratio());
 }
 
-/// A call was lost long ago, and its run was answered all the same. A later failure counts against
+/// A call failed long ago, and its run was answered all the same. A later failure counts against
 /// the server.
 #[test]
-fn a_lost_call_does_not_excuse_a_much_later_failure() {
+fn a_failed_call_does_not_excuse_a_much_later_failure() {
     let mut failures = RunFailures::default();
     failures.call_failed(at_ms(0));
     failures.failed(at_ms(0), at_ms(5_000));
@@ -53,14 +53,14 @@
 
 /// Callers on the host of a server that fails each run at once call it, one call after the other.
 /// The host doesn't know yet that outside callers use this route, and takes each failed call for
-/// one that a run has lost. A failure must not excuse the next one.
+/// one that a run made. A failure must not excuse the next one.
 #[test]
-fn a_call_lost_before_a_run_began_does_not_excuse_it() {
+fn a_call_that_failed_before_a_run_started_does_not_excuse_it() {
     let mut failures = RunFailures::default();
     for run in 0..10 {
-        let began = at_ms(run * 10);
-        let ended = began + Duration::from_millis(1);
-        failures.failed(began, ended);
+        let started = at_ms(run * 10);
+        let ended = started + Duration::from_millis(1);
+        failures.failed(started, ended);
         failures.call_failed(ended + Duration::from_millis(1));
     }
     assert!(failures.ratio() > 0.25, "{}", failures.ratio());
@@ -81,8 +81,8 @@
 }
 
 /// Callers that know that a server fails have ejected it, so its share of failures rises no
-/// further. At that share, calls that must not run twice must already be sent elsewhere: each of
-/// the other callers would lose one.
+/// further. At that share, calls that must not run twice must already be sent elsewhere. Otherwise
+/// one such call of each further caller would fail.
 #[test]
 fn an_ejected_server_takes_no_calls_that_must_not_be_repeated() {
     let mut failures = RunFailures::default();
--- a/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
@@ -63,7 +63,7 @@
     count
 }
 
-macro_rules! takes_what_is_advertised {
+macro_rules! keeps_the_advertised_limit {
     ($($name:ident: $per_s:expr;)*) => {
         $(
             /// While there are always calls to begin, their rate is the limit or up to a tenth less.
@@ -78,8 +78,8 @@
     };
 }
 
-takes_what_is_advertised! {
-    a_third_of_a_call_a_second: 0.3;
+keeps_the_advertised_limit! {
+    less_than_one_call_a_second: 0.3;
     one_and_a_half: 1.6;
     forty: 41.9;
     a_thousand: 1_000.0;
@@ -197,8 +197,8 @@
 fn a_restarted_node_learns_the_limit_from_its_callers() {
     let mut limit = ServerRateLimit::default();
     limit.on_life(&life("a"));
-    let of_another = limit.on_caller_report(at_ms(10), &life("b"), known(9.0, 0));
-    assert_eq!(of_another, None);
+    let change = limit.on_caller_report(at_ms(10), &life("b"), known(9.0, 0));
+    assert_eq!(change, None);
     limit.on_caller_report(at_ms(10), &life("a"), known(2.0, 5_000));
     limit.on_caller_report(at_ms(20), &life("a"), known(3.0, 1_000));
     limit.on_caller_report(at_ms(30), &life("a"), known(4.0, 8_000));
@@ -380,10 +380,10 @@
         while let Some(ticket) = self.gate.next(now) {
             self.begin(self.callers[ticket]);
         }
-        let mut due = offered_per_s / 1_000.0;
-        while due > 0.0 && self.random.random_bool(due.min(1.0)) {
+        let mut expected_calls = offered_per_s / 1_000.0;
+        while expected_calls > 0.0 && self.random.random_bool(expected_calls.min(1.0)) {
             self.offer();
-            due -= 1.0;
+            expected_calls -= 1.0;
         }
         if self.now_ms.is_multiple_of(CHECK_INTERVAL_MS) {
             self.check_window();
@@ -410,9 +410,9 @@
     }
 
     fn begin(&mut self, caller: usize) {
-        let takes_ms = self.random.random_range(5..400);
+        let run_time_ms = self.random.random_range(5..400);
         self.running
-            .push((self.now_ms + takes_ms, self.now_ms, caller));
+            .push((self.now_ms + run_time_ms, self.now_ms, caller));
         self.arrivals_count += 1;
         let reported_ms = self.first_reported_ms[caller];
         if reported_ms.is_some_and(|reported_ms| reported_ms + REPORT_DELAY_MS <= self.now_ms) {
@@ -425,19 +425,19 @@
         let (ended, running) = self
             .running
             .drain(..)
-            .partition(|(ends_ms, ..)| *ends_ms <= self.now_ms);
+            .partition(|(end_ms, ..)| *end_ms <= self.now_ms);
         self.running = running;
         let ended: Vec<(u64, u64, usize)> = ended;
-        for (_, began_ms, caller) in ended {
+        for (_, start_ms, caller) in ended {
             let limit = self.gate.rate_limit_mut();
-            limit.on_answer(now, &life("a"), at_ms(began_ms), self.limit);
+            limit.on_answer(now, &life("a"), at_ms(start_ms), self.limit);
             self.gate.on_backend_load(BackendLoad {
                 running_count: self.running.len(),
                 waiting_count: 0,
             });
             self.gate.ended(Some(RouteRunTime {
                 route: "r",
-                run_time: at_ms(self.now_ms - began_ms),
+                run_time: at_ms(self.now_ms - start_ms),
             }));
             let rate = self.gate.report(now, 1.0).rate;
             self.reported[caller] = rate.map(|rate| {
--- a/crates/kumquatquay-core/tests/routed/work_based_load.rs
+++ b/crates/kumquatquay-core/tests/routed/work_based_load.rs
@@ -112,7 +112,7 @@
     half_as_much_again_as_the_capacity: 1.5;
 }
 
-/// If the work of calls isn't told apart by route, two in five of the long calls are refused
+/// If all calls are assumed to have the mean run time, two in five of the long ones are refused
 /// although there are slots for all.
 #[test]
 fn without_run_times_by_route_slots_are_idle() {
--- a/crates/kumquatquay-core/tests/routed/workspaces.rs
+++ b/crates/kumquatquay-core/tests/routed/workspaces.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn shown(key: &str) -> PresentedKey {
+fn present(key: &str) -> PresentedKey {
     PresentedKey::Present(KeyDigest::of(key.as_bytes()))
 }
 
@@ -38,7 +38,7 @@
         workspace("south", "k2", None),
     ];
     match Workspaces::new(Some(workspaces)).identify(&route(is_public, 1), key) {
-        CallerIdentity::Anonymous => String::from("not asked"),
+        CallerIdentity::Anonymous => String::from("anonymous"),
         CallerIdentity::Workspace(workspace) => workspace.name.clone(),
         CallerIdentity::MissingKey => String::from("missing"),
         CallerIdentity::UnknownKey => String::from("unknown"),
@@ -46,24 +46,24 @@
 }
 
 macro_rules! identifies {
-    ($($name:ident: $is_public:literal, $key:expr => $verdict:literal;)*) => {
+    ($($name:ident: $is_public:literal, $key:expr => $identity:literal;)*) => {
         $(
             #[test]
             fn $name() {
-                assert_eq!(identify($is_public, $key), $verdict);
+                assert_eq!(identify($is_public, $key), $identity);
             }
         )*
     };
 }
 
 identifies! {
-    a_key_identifies_its_workspace: false, shown("k2") => "south";
-    a_key_of_no_workspace_is_unknown: false, shown("k3") => "unknown";
+    a_key_identifies_its_workspace: false, present("k2") => "south";
+    a_key_of_no_workspace_is_unknown: false, present("k3") => "unknown";
     a_route_requires_a_key: false, PresentedKey::Missing => "missing";
     a_malformed_key_counts_as_missing: false, PresentedKey::Malformed => "missing";
-    a_public_route_requires_no_key: true, PresentedKey::Missing => "not asked";
-    a_public_route_ignores_an_unknown_key: true, shown("k3") => "not asked";
-    a_key_identifies_its_workspace_on_a_public_route: true, shown("k1") => "north";
+    a_public_route_requires_no_key: true, PresentedKey::Missing => "anonymous";
+    a_public_route_ignores_an_unknown_key: true, present("k3") => "anonymous";
+    a_key_identifies_its_workspace_on_a_public_route: true, present("k1") => "north";
 }
 
 /// An operator removes the last workspace from the list. That must not open the routes to callers
@@ -71,14 +71,14 @@
 #[test]
 fn an_empty_list_of_workspaces_opens_no_route() {
     let workspaces = Workspaces::new(Some(Vec::new()));
-    let verdict = workspaces.identify(&route(false, 1), PresentedKey::Missing);
-    assert_eq!(verdict, CallerIdentity::MissingKey);
+    let identity = workspaces.identify(&route(false, 1), PresentedKey::Missing);
+    assert_eq!(identity, CallerIdentity::MissingKey);
 }
 
 #[test]
 fn without_workspaces_no_key_is_required() {
-    let verdict = Workspaces::new(None).identify(&route(false, 1), shown("k1"));
-    assert_eq!(verdict, CallerIdentity::Anonymous);
+    let identity = Workspaces::new(None).identify(&route(false, 1), present("k1"));
+    assert_eq!(identity, CallerIdentity::Anonymous);
 }
 
 /// A digest in a state dump, a log line or a panic would reveal which key was used.
