--- a/crates/kumquatquayd/src/routed/count_guard.rs
+++ b/crates/kumquatquayd/src/routed/count_guard.rs
@@ -1,14 +1,14 @@
-//! A count of what is under way.
+//! A guard that counts operations in progress.
 
 use std::cell::Cell;
 
-/// One of the things that are counted, for as long as it lives.
+/// Counts as one in a counter until it is dropped.
 pub(crate) struct CountGuard<'a> {
     count: &'a Cell<usize>,
 }
 
 impl<'a> CountGuard<'a> {
-    /// Counts one more.
+    /// Increments the counter.
     pub(crate) fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self { count }
--- a/crates/kumquatquayd/src/routed/initial_health_check.rs
+++ b/crates/kumquatquayd/src/routed/initial_health_check.rs
@@ -1,4 +1,4 @@
-//! Looks whether the backend server of this host is there when the node starts.
+//! Health checks of the backend server of this host while the node starts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,64 +10,64 @@
 
 use super::{node::RoutedNode, reports::on_backend_changed, server_notices::on_health_check_limit};
 
-/// Pauses before the looks. Reports come every second or two, so a few looks in the first
-/// second bring a node back to work a second earlier on the mean; each is a small request.
-const PAUSES: [Duration; 4] = [
+/// Pauses before the checks. Backend servers report every second or two, so a few checks in the
+/// first second make a node operational one second earlier on average. Each is a small request.
+const CHECK_PAUSES: [Duration; 4] = [
     Duration::from_millis(100),
     Duration::from_millis(150),
     Duration::from_millis(300),
     Duration::from_millis(500),
 ];
 
-/// How long a look may take; a health check takes some milliseconds.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of a check, which takes a few milliseconds.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks the backend server of this host how it is, until it has told.
+/// Checks the health of the backend server a few times, until the node knows its state.
 ///
-/// A node is stopped and started again while its backend server goes on, or all nodes are
-/// killed at once. Until the next report comes nobody can call that backend server: a
-/// service with three of them loses a third of its room for that time, each time.
+/// A node may be restarted while its backend server keeps running, or all nodes may be killed at
+/// once. Until the next report arrives, no calls reach that backend server: a service with three of
+/// them loses a third of its capacity for that time.
 pub(crate) async fn check_backend_at_start(node: Rc<RoutedNode>) {
     if !node.is_on(Mechanism::InitialHealthCheck) {
         return;
     }
-    for pause in PAUSES {
+    for pause in CHECK_PAUSES {
         tokio::time::sleep(pause).await;
         if node.lives.borrow().current().is_some() {
             return;
         }
-        let found = tokio::time::timeout(LOOK_TIMEOUT, look(&node)).await;
-        if let Ok(Some(found)) = found {
-            take(&node, found);
+        let healthy = tokio::time::timeout(CHECK_TIMEOUT, check(&node)).await;
+        if let Ok(Some(healthy)) = healthy {
+            apply(&node, healthy);
             return;
         }
     }
 }
 
-/// What a health check tells of the backend server.
-struct Found {
+/// Result of a successful health check.
+struct HealthyBackend {
     report: LifeReport,
     limit: AdvertisedRateLimit,
 }
 
-fn take(node: &RoutedNode, found: Found) {
+fn apply(node: &RoutedNode, healthy: HealthyBackend) {
     let mut lives = node.lives.borrow_mut();
     if lives.current().is_some() {
         return;
     }
-    let life = found.report.life.clone();
-    let taken = lives.on_report(node.now(), found.report);
+    let life = healthy.report.life.clone();
+    let applied = lives.on_report(node.now(), healthy.report);
     drop(lives);
-    if taken == Ok(true) {
+    if applied == Ok(true) {
         node.metrics.count("report", "first_look");
         on_backend_changed(node);
-        on_health_check_limit(node, &life, found.limit);
+        on_health_check_limit(node, &life, healthy.limit);
     }
 }
 
-/// What the backend server's health check tells of it; `None` unless it is well and names
-/// itself and its slots.
-async fn look(node: &RoutedNode) -> Option<Found> {
+/// Performs a health check. Returns `None` unless the backend server is healthy and states its
+/// instance id and its slots.
+async fn check(node: &RoutedNode) -> Option<HealthyBackend> {
     let routes = node.routes()?;
     let service = &node.settings.service;
     let path = routes.health_path(service)?;
@@ -76,9 +76,9 @@
     request.headers_mut().insert(header::HOST, host);
     let answer = node.backend.send(request, true).await.ok()?;
     let metadata = (node.dialect.read_answer)(&answer.headers);
-    let is_well = answer.status == StatusCode::OK.as_u16() && !metadata.is_leaving;
+    let is_healthy = answer.status == StatusCode::OK.as_u16() && !metadata.is_leaving;
     answer.return_to_pool(metadata.keep_alive_timeout);
-    let instance = metadata.instance.filter(|_| is_well)?;
+    let instance = metadata.instance.filter(|_| is_healthy)?;
     let report = LifeReport {
         life: BackendLife::untold(instance),
         service: service.clone(),
@@ -87,7 +87,7 @@
         sequence: 0,
         warm_up_left: Duration::ZERO,
     };
-    Some(Found {
+    Some(HealthyBackend {
         report,
         limit: metadata.limit,
     })
--- a/crates/kumquatquayd/src/routed/metrics_text.rs
+++ b/crates/kumquatquayd/src/routed/metrics_text.rs
@@ -1,13 +1,13 @@
-//! The node's metrics as text, one a line.
+//! Text format of the node's metrics.
 
 use std::fmt::Write;
 
 use super::{node::RoutedNode, quotas::nodes_count};
 
-/// Quantiles of the latency that are told.
+/// Latency quantiles to export.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// Counters, latencies and gauges of a node.
+/// Formats the counters, latencies and gauges of a node, one per line.
 pub(crate) fn metrics_text(node: &RoutedNode) -> String {
     let mut text = String::new();
     for ((what, why), count) in node.metrics.counts() {
@@ -23,7 +23,7 @@
     let report = node.gate_report();
     let server_limit = node.gate.borrow().rate_limit().per_s();
     let waiting_work = node.gate.borrow().state().waiting_work;
-    let unheard = node.store_poller.borrow().time_since_answer(node.now());
+    let time_since_answer = node.store_poller.borrow().time_since_answer(node.now());
     let store_era = node.store_poller.borrow().era().unwrap_or_default();
     let is_store_behind = node.proof.borrow().is_store_behind();
     let proof_age = node.proof_age().unwrap_or_default();
@@ -49,7 +49,7 @@
         ("route_version", node.route_version()),
         ("store_era", store_era),
         ("store_behind", u64::from(is_store_behind)),
-        ("store_unheard_ms", unheard.as_millis() as u64),
+        ("store_unheard_ms", time_since_answer.as_millis() as u64),
         ("proof_age_ms", proof_age.as_millis() as u64),
         ("quota_nodes", quota_nodes_count as u64),
         ("links", node.links.borrow().len() as u64),
@@ -60,8 +60,8 @@
     if let Some(per_s) = server_limit {
         let _ = writeln!(text, "kumquatquay_server_limit_per_s {per_s}");
     }
-    for known in node.gate.borrow().run_times().routes() {
-        let (route, work_us) = (known.route, known.run_time.as_micros());
+    for route_run_time in node.gate.borrow().run_times().routes() {
+        let (route, work_us) = (route_run_time.route, route_run_time.run_time.as_micros());
         let _ = writeln!(
             text,
             "kumquatquay_gate_route_work_us{{route={route:?}}} {work_us}"
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -1,4 +1,4 @@
-//! Listeners for reports of the backend server, for readiness and for metrics.
+//! Handlers for reports of the backend server, readiness checks and metrics.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -17,16 +17,16 @@
     node::{RoutedNode, StopPhase},
 };
 
-/// The longest report, in bytes; one has some 300.
+/// Size limit of a report, in bytes; a report has about 300.
 const REPORT_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Part of a backend server's slots that calls of this node fill at the same time.
+/// Part of a backend server's slots that calls of this node may occupy at the same time.
 ///
-/// Some slow down when they are nearly full, and probes and new connections take
-/// slots as well; the rest waits at the gate, where it is ordered.
-const SLOTS_RATIO: f64 = 0.94;
+/// Some servers slow down when they are nearly full, and health checks and new connections take
+/// slots as well. Further calls wait at the gate, where they are ordered.
+const USABLE_SLOTS_RATIO: f64 = 0.94;
 
-/// Serves a report of the backend server on this host.
+/// Handles a report of the backend server on this host.
 pub(crate) async fn serve_report(
     node: Rc<RoutedNode>,
     request: Request<Incoming>,
@@ -34,19 +34,19 @@
     let (parts, body) = request.into_parts();
     let body = match Limited::new(body, REPORT_LIMIT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => return bad_report(&node, format!("the body can't be read: {error}")),
+        Err(error) => return reject_report(&node, format!("cannot read the body: {error}")),
     };
     let report = (node.dialect.read_report)(&parts, &body);
-    match report.and_then(|report| take_report(&node, report)) {
+    match report.and_then(|report| apply_report(&node, report)) {
         Ok(()) => acknowledged(),
-        Err(reason) => bad_report(&node, reason),
+        Err(reason) => reject_report(&node, reason),
     }
 }
 
-/// Refuses a report that can't be used; the backend server that is known holds.
+/// Rejects an invalid report, which leaves the known state of the backend server unchanged.
 ///
-/// Whoever writes such reports may write thousands: a line a second tells of them.
-fn bad_report(node: &RoutedNode, reason: String) -> Response<BufferedBody> {
+/// Only one such report per second is logged, since a sender of invalid reports may send thousands.
+fn reject_report(node: &RoutedNode, reason: String) -> Response<BufferedBody> {
     node.metrics.count("report", "refused");
     let second = node.now().as_secs();
     if node.refused_report_second.replace(Some(second)) != Some(second) {
@@ -64,14 +64,14 @@
     answer
 }
 
-/// Takes in a report.
+/// Applies a report.
 ///
 /// # Errors
 ///
-/// Why it can't be of the backend server on this host.
-fn take_report(node: &RoutedNode, report: BackendReport) -> Result<(), String> {
+/// Returns the reason if the report can't come from the backend server on this host.
+fn apply_report(node: &RoutedNode, report: BackendReport) -> Result<(), String> {
     let now = node.now();
-    let is_change = match report {
+    let has_changed = match report {
         BackendReport::Life { report, address } => {
             check_origin(node, &report, address)?;
             let change = node.lives.borrow_mut().on_report(now, report);
@@ -80,26 +80,26 @@
         BackendReport::Leave { life } => node.lives.borrow_mut().on_leave(now, &life),
     };
     node.backend_liveness.borrow_mut().on_activity(now);
-    if is_change {
+    if has_changed {
         on_backend_changed(node);
     }
     Ok(())
 }
 
-/// The backend server of this host is another one, or in another state.
+/// Updates gate and membership after the backend server of this host or its state has changed.
 pub(crate) fn on_backend_changed(node: &RoutedNode) {
-    set_limit(node);
+    update_gate_limit(node);
     announce_backend(node);
     admit_waiting(node);
 }
 
-/// Whether a report can be of the backend server on this host: it stands at the address
-/// that calls go to, and belongs to a service that there is.
+/// Checks that a report can come from the backend server on this host: its address is the one to
+/// which calls are sent, and its service exists.
 fn check_origin(node: &RoutedNode, report: &LifeReport, address: SocketAddr) -> Result<(), String> {
     let own = node.settings.backend;
     if address != own {
         return Err(format!(
-            "address: {address} is not {own}, that of this host"
+            "address: {address} is not {own}, the backend server of this host"
         ));
     }
     let routes = node.routes();
@@ -110,14 +110,14 @@
     Ok(())
 }
 
-fn set_limit(node: &RoutedNode) {
+fn update_gate_limit(node: &RoutedNode) {
     let lives = node.lives.borrow();
     let slots_count = lives.current().map_or(0, |current| current.slots_count);
-    let limit_count = (slots_count as f64 * SLOTS_RATIO).floor().max(1.0) as usize;
+    let limit_count = (slots_count as f64 * USABLE_SLOTS_RATIO).floor().max(1.0) as usize;
     node.gate.borrow_mut().set_limit_count(limit_count);
 }
 
-/// Serves the question whether this node is ready for callers.
+/// Handles a readiness check.
 pub(crate) async fn serve_readiness(
     node: Rc<RoutedNode>,
     request: Request<Incoming>,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Whether callers are served here: those with keys too, where there are any.
+/// Whether this node can serve callers, including those with keys if any route requires keys.
 fn can_serve(node: &RoutedNode) -> bool {
     let Some(table) = node.routes() else {
         return false;
@@ -141,7 +141,7 @@
     !table.workspaces().require_keys() || !node.lacks_valid_proof()
 }
 
-/// Serves the node's metrics as text.
+/// Handles a request for the metrics of the node.
 pub(crate) async fn serve_metrics(
     node: Rc<RoutedNode>,
     _request: Request<Incoming>,
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on single requests.
+//! Log lines on individual requests.
 
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Writes a line on a request, unless this second has had its lines.
+/// Logs a request, unless the limit of log lines for this second is reached.
 pub(crate) fn log_request_rate_limited(
     node: &RoutedNode,
     call: &OutgoingCall,
@@ -78,7 +78,7 @@
     let now = node.now();
     let progress = call.progress.get();
     let caller = call.caller.map(|caller| caller.to_string());
-    let last = progress.last_node.map(|last| last.to_string());
+    let last_node = progress.last_node.map(|last_node| last_node.to_string());
     let report = report.unwrap_or_default();
     log::info!(
         event = "request",
@@ -93,16 +93,15 @@
         left_ms = call.deadline.saturating_sub(now).as_millis() as u64,
         sends = progress.sends_count,
         refusals = progress.refusals_count as u64,
-        last_node = last.as_deref().unwrap_or_default(),
+        last_node = last_node.as_deref().unwrap_or_default(),
         gate_running = report.running_count,
         gate_waiting = report.waiting_count,
         gate_limit = report.limit_count;
-        "a request ended"
+        "request finished"
     );
 }
 
-/// Writes a line on a request of which it isn't known whose it is, or for which there is no
-/// route. Nothing of what it shows as a key is written.
+/// Logs a request whose caller or route is not identified. No part of its key is logged.
 pub(crate) fn log_unidentified(
     node: &RoutedNode,
     metadata: &RequestMetadata,
@@ -119,11 +118,11 @@
         why = refusal.name(),
         version = node.route_version(),
         proof_age_ms = proof_age_ms;
-        "a request ended"
+        "request finished"
     );
 }
 
-/// Writes a line on a request that is beyond the quota of its workspace.
+/// Logs a request that exceeds the quota of its workspace.
 pub(crate) fn log_over_quota(
     node: &RoutedNode,
     metadata: &RequestMetadata,
@@ -146,6 +145,6 @@
         rate_per_s = quota.map_or(0.0, |quota| quota.rate_per_s),
         burst = quota.map_or(0.0, |quota| quota.burst_count),
         share = refusal.share();
-        "a request ended"
+        "request finished"
     );
 }
--- a/crates/kumquatquayd/src/routed/route_demand_log.rs
+++ b/crates/kumquatquayd/src/routed/route_demand_log.rs
@@ -1,4 +1,4 @@
-//! Writes down what a node believes of where routes lead.
+//! Logs what a node has learnt about the demand of routes.
 
 use std::{cell::RefCell, collections::HashMap, time::Duration};
 
@@ -7,36 +7,35 @@
     routed::{RouteNews, ServiceDemand},
 };
 
-/// Least time between two lines on one route at one service.
-const LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// Minimum interval between two log lines on one route at one service.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Share by which a count of calls must have changed to be told again.
-const CHANGED_RATIO: f32 = 0.25;
+/// Relative change of a count of calls from which on it is logged again.
+const CALLS_CHANGE_RATIO: f32 = 0.25;
 
-/// The same for the slot time of its calls, which grows and falls with the load.
-const WORK_CHANGED_RATIO: f32 = 0.5;
+/// The same for the slot time of the calls, which varies with the load.
+const WORK_CHANGE_RATIO: f32 = 0.5;
 
-/// Routes, each at its service, of which the last line is remembered.
-const LIMIT_COUNT: usize = 256;
+/// Number of routes, each at its service, that are logged.
+const ROUTES_LIMIT_COUNT: usize = 256;
 
-/// What was told last of each route.
+/// The demand that was logged last for each route.
 ///
-/// Whole requests are refused for services that their route is believed to lead to. Without
-/// these lines nobody could tell afterwards whether a request was refused, or let in, for a
-/// wrong belief.
+/// Root requests are refused because of the services that their route is assumed to call. Only these
+/// lines show afterwards whether a request was refused, or admitted, on a wrong assumption.
 #[derive(Debug, Default)]
 pub(crate) struct RouteDemandLog {
-    told: RefCell<HashMap<(String, ServiceName), Line>>,
+    logged: RefCell<HashMap<(String, ServiceName), LoggedDemand>>,
 }
 
 #[derive(Debug)]
-struct Line {
-    at: Duration,
+struct LoggedDemand {
+    logged_at: Duration,
     news: RouteNews,
 }
 
 impl RouteDemandLog {
-    /// Writes a line if the news differs from what was told of this route last.
+    /// Logs the demand of a route if it differs from what was logged last.
     pub(crate) fn log_if_changed(
         &self,
         now: Duration,
@@ -44,12 +43,12 @@
         service: &str,
         news: &RouteNews,
     ) {
-        let mut told = self.told.borrow_mut();
+        let mut logged = self.logged.borrow_mut();
         let key = (String::from(route), ServiceName::from(service));
-        let last = told.get(&key);
-        let is_due = last.is_none_or(|last| now >= last.at + LINE_INTERVAL);
+        let last = logged.get(&key);
+        let is_due = last.is_none_or(|last| now >= last.logged_at + MIN_LOG_INTERVAL);
         let is_same = last.is_some_and(|last| !differs(&last.news, news));
-        if !is_due || is_same || (last.is_none() && told.len() >= LIMIT_COUNT) {
+        if !is_due || is_same || (last.is_none() && logged.len() >= ROUTES_LIMIT_COUNT) {
             return;
         }
         let leads_to = news.leads_to.iter();
@@ -60,9 +59,15 @@
         log::info!(event = "route_learnt", route = route, service = service,
             is_settled = news.is_settled, is_from_outside = news.is_from_outside,
             leads_to = leads_to.collect::<Vec<_>>().join(", ").as_str();
-            "what a run leads to: calls at each service and their slot time");
+            "learnt the demand of a route: calls at each service and their slot time");
         let news = news.clone();
-        told.insert(key, Line { at: now, news });
+        logged.insert(
+            key,
+            LoggedDemand {
+                logged_at: now,
+                news,
+            },
+        );
     }
 }
 
@@ -75,12 +80,12 @@
         let known = demand_at(last, &demand.service).unwrap_or_default();
         let calls = (demand.calls - known.calls).abs();
         let work_us = demand.work_us.abs_diff(known.work_us);
-        calls > CHANGED_RATIO * demand.calls.max(1.0)
-            || work_us as f32 > WORK_CHANGED_RATIO * demand.work_us as f32
+        calls > CALLS_CHANGE_RATIO * demand.calls.max(1.0)
+            || work_us as f32 > WORK_CHANGE_RATIO * demand.work_us as f32
     };
-    let gone = |demand: &ServiceDemand| demand_at(news, &demand.service).is_none();
+    let removed = |demand: &ServiceDemand| demand_at(news, &demand.service).is_none();
     last.is_from_outside != news.is_from_outside
         || last.is_settled != news.is_settled
         || news.leads_to.iter().any(changed)
-        || last.leads_to.iter().any(gone)
+        || last.leads_to.iter().any(removed)
 }
