--- a/crates/kumquatquayd/src/routed/buffer_pool.rs
+++ b/crates/kumquatquayd/src/routed/buffer_pool.rs
@@ -1,44 +1,45 @@
-//! Buffers that all links of a node use in turn.
+//! Pool of buffers that is shared by all links of a node.
 //!
-//! A node has hundreds of links, and few of them carry frames at the same moment. With buffers
-//! of its own each link would hold what its longest frame took, or allocate anew for each.
+//! A node has hundreds of links, and few of them carry frames at the same moment. If each link
+//! had its own buffer, it would either keep the memory of its longest frame, or allocate for
+//! each frame.
 
 use std::cell::{Cell, RefCell};
 
-/// Bytes read at once: a few dozen frames of calls.
-const READ_BYTES: usize = 32 * 1024;
+/// Size of the read buffer: a few dozen call frames.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
 
-/// The largest buffer that is kept.
-const KEPT_BYTES: usize = 32 * 1024;
+/// Largest capacity of a buffer that is kept.
+const POOLED_BUFFER_LIMIT_BYTES: usize = 32 * 1024;
 
-/// Buffers that are kept at most.
-const KEPT_COUNT: usize = 16;
+/// Number of buffers that are kept.
+const POOL_LIMIT_COUNT: usize = 16;
 
 thread_local! {
-    static READ: Cell<Vec<u8>> = const { Cell::new(Vec::new()) };
-    static SPARE: RefCell<Vec<Vec<u8>>> = const { RefCell::new(Vec::new()) };
+    static READ_BUFFER: Cell<Vec<u8>> = const { Cell::new(Vec::new()) };
+    static POOL: RefCell<Vec<Vec<u8>>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Does something with the buffer into which connections are read.
+/// Runs a closure with the read buffer of this thread.
 pub(super) fn with_read_buffer<T>(read: impl FnOnce(&mut [u8]) -> T) -> T {
-    let mut buffer = READ.take();
-    buffer.resize(READ_BYTES, 0);
+    let mut buffer = READ_BUFFER.take();
+    buffer.resize(READ_BUFFER_BYTES, 0);
     let result = read(&mut buffer);
-    READ.set(buffer);
+    READ_BUFFER.set(buffer);
     result
 }
 
-/// An empty buffer.
+/// Takes an empty buffer from the pool, or creates one.
 pub(super) fn take_buffer() -> Vec<u8> {
-    SPARE.with_borrow_mut(Vec::pop).unwrap_or_default()
+    POOL.with_borrow_mut(Vec::pop).unwrap_or_default()
 }
 
-/// Keeps a buffer for the next one who asks.
+/// Returns a buffer to the pool, unless it is too large or the pool is full.
 pub(super) fn return_buffer(mut buffer: Vec<u8>) {
     buffer.clear();
-    SPARE.with_borrow_mut(|spare| {
-        if buffer.capacity() <= KEPT_BYTES && spare.len() < KEPT_COUNT {
-            spare.push(buffer);
+    POOL.with_borrow_mut(|pool| {
+        if buffer.capacity() <= POOLED_BUFFER_LIMIT_BYTES && pool.len() < POOL_LIMIT_COUNT {
+            pool.push(buffer);
         }
     });
 }
--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -306,7 +306,7 @@
         self.node.metrics.count("pipelined", "unclear");
         if self.node.metrics.take_log_permit(self.node.now()) {
             log::warn!(event = "pipelining_unclear", caller = caller.as_str();
-                    "the end of a request is ambiguous; pipelining ends on this connection");
+                "the end of a request is ambiguous; pipelining ends on this connection");
         }
     }
 
--- a/crates/kumquatquayd/src/routed/configuration_exchange.rs
+++ b/crates/kumquatquayd/src/routed/configuration_exchange.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the configuration, on each link.
+//! Exchange of configurations and of their freshness between nodes over links.
 
 use std::time::Duration;
 
@@ -7,29 +7,31 @@
 
 use super::{link_frames::FrameWriter, node::RoutedNode};
 
-/// Nodes that a fleet has at the most; a broken node that tells more would shrink all quotas.
-const NODES_LIMIT_COUNT: usize = 20_000;
+/// Largest credible size of a fleet. A faulty node that reports more would shrink all quotas.
+const FLEET_LIMIT_COUNT: usize = 20_000;
 
-/// Asks for a configuration that the other node has and this one lacks.
+/// Handles the follow state of another node; requests its configuration if that is newer.
 pub(crate) fn on_follow_state(node: &RoutedNode, frames: &FrameWriter, followed: FollowState) {
     let reported_nodes_count = node.reported_nodes_count.get();
     let nodes_count = followed.nodes_count as usize;
-    if (reported_nodes_count..=NODES_LIMIT_COUNT).contains(&nodes_count) {
+    if (reported_nodes_count..=FLEET_LIMIT_COUNT).contains(&nodes_count) {
         node.reported_nodes_count.set(nodes_count);
     }
-    let mut follower = node.store_poller.borrow_mut();
+    let mut poller = node.store_poller.borrow_mut();
     let era = followed.store_era;
-    let news = follower.on_peer_state(node.now(), era, followed.store_answers_count);
-    drop(follower);
-    node.on_era_change(news, era, "node");
+    let era_change = poller.on_peer_state(node.now(), era, followed.store_answers_count);
+    drop(poller);
+    node.on_era_change(era_change, era, "node");
     if followed.version > node.route_version() && node.begin_configuration_ask() {
         frames.push(&FrameHead::ConfigurationAsk);
     }
 }
 
-/// Takes in what another node answers, of how far it follows, to a question asked at `asked`.
+/// Handles the follow state that answers a question sent at `asked`; it may also renew the
+/// proof of freshness.
 ///
-/// Who wasn't asked may have told it long ago: it may have lain in a link that was cut.
+/// A state without a question can't do that, since it may have been delayed for long in a
+/// broken link.
 pub(crate) fn on_follow_answer(
     node: &RoutedNode,
     frames: &FrameWriter,
@@ -42,16 +44,16 @@
     };
     let age = Duration::from_millis(u64::from(age_ms));
     let now = node.boot_time();
-    let told = PeerProof {
+    let peer_proof = PeerProof {
         asked,
         version: followed.version,
         age: Some(age),
         era: followed.store_era,
     };
-    node.update_proof(|proof| proof.on_peer_proof(now, told));
+    node.update_proof(|proof| proof.on_peer_proof(now, peer_proof));
 }
 
-/// A question how far another node follows.
+/// Builds a ping, which asks another node for its follow state.
 pub(crate) fn ping_frame(node: &RoutedNode) -> FrameHead<'static> {
     FrameHead::Ping {
         followed: node.follow_state(),
@@ -59,7 +61,7 @@
     }
 }
 
-/// Takes in a configuration of another node.
+/// Puts a configuration from another node in force if it is newer.
 pub(crate) fn on_configuration(node: &RoutedNode, body: &[u8]) {
     match postcard::from_bytes(body) {
         Ok(configuration) => node.apply_configuration(configuration, "node"),
--- a/crates/kumquatquayd/src/routed/link_answer.rs
+++ b/crates/kumquatquayd/src/routed/link_answer.rs
@@ -1,4 +1,4 @@
-//! What becomes of a call that is sent to another node.
+//! Outcome of a call that is sent to another node.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -6,8 +6,8 @@
     GateReport, LinkOutcome, NotRunReason, Payload, RouteNews, ServicePressure, UnknownReason,
 };
 
-/// Whether a call may have been handed to a backend server. While it may not, its caller
-/// can be told truly that it has not run.
+/// Shared flag: whether a call may have reached a backend server. While it is clear, the caller
+/// can be told that the call has not run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MayHaveRun(Rc<Cell<bool>>);
 
@@ -16,7 +16,7 @@
         self.0.set(true);
     }
 
-    /// The backend server has said that it did not run the call.
+    /// Clears the flag after the backend server has stated that it did not run the call.
     pub(crate) fn clear(&self) {
         self.0.set(false);
     }
@@ -26,12 +26,12 @@
     }
 }
 
-/// What came of a call that was sent over a link.
+/// Outcome of a call over a link, with what the other node reported along with it.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkAnswer {
     pub(crate) outcome: LinkOutcome,
     pub(crate) payload: Payload,
-    /// Whether the backend server said with it that it leaves.
+    /// Whether the backend server stated in its answer that it is leaving.
     pub(crate) is_leaving: bool,
     pub(crate) report: Option<GateReport>,
     pub(crate) news: Option<RouteNews>,
@@ -47,12 +47,12 @@
         Self::without_body(LinkOutcome::Unknown(reason))
     }
 
-    /// Whether the call was answered with a success.
+    /// Whether the call was answered with a status below 400.
     pub(crate) fn is_success(&self) -> bool {
         matches!(self.outcome, LinkOutcome::Answered { status } if status < 400)
     }
 
-    /// Whether a backend server ran the call and brought nothing of use.
+    /// Whether the call ran, or may have run, without a useful result.
     pub(crate) fn is_failed_run(&self) -> bool {
         match self.outcome {
             LinkOutcome::Answered { status } => status >= 500,
@@ -61,8 +61,9 @@
         }
     }
 
-    /// This answer if it is a backend server's, or else what another attempt of the same
-    /// call brings. That the other one has not run says nothing of this one.
+    /// Returns this answer if it comes from a backend server, else waits for that of another
+    /// attempt of the same call. If the other attempt has not run, that doesn't make an unknown
+    /// outcome of this one known.
     pub(crate) async fn or_other_attempt(self, other: impl Future<Output = Self>) -> Self {
         if matches!(self.outcome, LinkOutcome::Answered { .. }) {
             return self;
--- a/crates/kumquatquayd/src/routed/link_frames.rs
+++ b/crates/kumquatquayd/src/routed/link_frames.rs
@@ -1,4 +1,4 @@
-//! Frames on their way into and out of the connection of a link.
+//! Reading and writing of frames on the connection of a link.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,14 +20,14 @@
 
 use super::buffer_pool::{return_buffer, take_buffer, with_read_buffer};
 
-/// Bytes that may wait for a peer that doesn't read; no call is added beyond.
+/// Limit for queued bytes towards a peer that doesn't read; beyond it no call is queued.
 const UNWRITTEN_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
-/// Bytes of answers that may wait for a peer that doesn't read, beside those that are being
-/// written; no call is run beyond.
+/// Limit for queued bytes of answers towards a peer that doesn't read, besides those being
+/// written; beyond it no call of the peer is run.
 const UNWRITTEN_ANSWERS_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// Frames on their way into a connection.
+/// Queue of frames that are to be written to a connection.
 #[derive(Debug, Default)]
 pub(crate) struct FrameWriter {
     unwritten: RefCell<Vec<u8>>,
@@ -38,12 +38,12 @@
 }
 
 impl FrameWriter {
-    /// Queues a frame that is a head alone; the count of the connection's bytes up to its end.
+    /// Queues a frame without payload; returns its end as a position in the byte stream.
     pub(crate) fn push(&self, head: &FrameHead<'_>) -> u64 {
         self.push_with(head, &Payload::default())
     }
 
-    /// Queues a frame; the count of the connection's bytes up to its end.
+    /// Queues a frame; returns its end as a position in the byte stream.
     pub(crate) fn push_with(&self, head: &FrameHead<'_>, payload: &Payload) -> u64 {
         let mut unwritten = self.unwritten.borrow_mut();
         if unwritten.capacity() == 0 {
@@ -57,27 +57,28 @@
         self.queued_bytes.get()
     }
 
-    /// Whether another frame may be queued.
+    /// Whether there is room for another frame.
     pub(super) fn has_room(&self) -> bool {
         !self.is_closed.get() && self.unwritten.borrow().len() < UNWRITTEN_LIMIT_BYTES
     }
 
-    /// Whether calls of the peer may be run, whose answers have to wait behind these bytes.
+    /// Whether calls of the peer may run: their answers have to wait behind the queued bytes.
     pub(super) fn has_room_for_answers(&self) -> bool {
         self.unwritten.borrow().len() < UNWRITTEN_ANSWERS_LIMIT_BYTES
     }
 
-    /// Whether bytes up to here were given to the connection, in part or whole.
+    /// Whether the byte stream has been written up to a position.
     pub(super) fn has_written_to(&self, end_bytes: u64) -> bool {
         self.written_bytes.get() >= end_bytes
     }
 
-    /// Takes no further frames.
+    /// Refuses further frames: [`has_room`](Self::has_room) is false from now on.
     pub(super) fn close(&self) {
         self.is_closed.set(true);
     }
 
-    /// Writes what is queued, all frames of one moment at once.
+    /// Writes queued frames until the connection fails; frames queued together go into one
+    /// write.
     pub(crate) async fn run(&self, mut connection: OwnedWriteHalf) -> io::Result<()> {
         loop {
             let chunk = std::mem::take(&mut *self.unwritten.borrow_mut());
@@ -100,30 +101,31 @@
     }
 }
 
-/// Reads frames and hands each on, until the connection ends or breaks.
+/// Reads frames and passes each to `on_frame`, until the connection ends or fails.
 pub(crate) async fn read_frames(
     mut connection: OwnedReadHalf,
-    mut take: impl FnMut(Frame<'_>) -> Result<(), WireError>,
+    mut on_frame: impl FnMut(Frame<'_>) -> Result<(), WireError>,
 ) -> io::Result<()> {
     let mut reader = FrameReader::default();
     let mut read =
-        |context: &mut Context<'_>| read_some(context, &mut connection, &mut reader, &mut take);
+        |context: &mut Context<'_>| read_some(context, &mut connection, &mut reader, &mut on_frame);
     while poll_fn(&mut read).await? > 0 {}
     Ok(())
 }
 
-/// Reads what is there and hands on the frames that are whole by that; the bytes that were read.
+/// Reads available bytes and passes the completed frames to `on_frame`; returns the number of bytes
+/// read.
 fn read_some(
     context: &mut Context<'_>,
     connection: &mut OwnedReadHalf,
     reader: &mut FrameReader,
-    take: impl FnMut(Frame<'_>) -> Result<(), WireError>,
+    on_frame: impl FnMut(Frame<'_>) -> Result<(), WireError>,
 ) -> Poll<io::Result<usize>> {
     with_read_buffer(|buffer| {
         let mut buffer = ReadBuf::new(buffer);
         ready!(Pin::new(connection).poll_read(context, &mut buffer))?;
         let bytes = buffer.filled();
-        reader.read(bytes, take).map_err(io::Error::other)?;
+        reader.read(bytes, on_frame).map_err(io::Error::other)?;
         Poll::Ready(Ok(bytes.len()))
     })
 }
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -1,4 +1,4 @@
-//! The side of a link that takes calls for the backend server of this host.
+//! The side of a link that receives calls for the backend server of this host.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,111 +26,112 @@
     quotas::{lend, return_local_token, take_local_token},
 };
 
-/// A link that another node has made to this one.
+/// Link opened by another node.
 #[derive(Debug, Default)]
 struct ServedLink {
     frames: FrameWriter,
-    /// Calls that have no answer yet.
+    /// Calls without an answer.
     open: RefCell<HashMap<CallNumber, OpenCall>>,
-    /// What was told of each route last.
-    news_told: RefCell<HashMap<String, ToldNews>>,
-    /// When pressures were told last.
-    pressures_told: Cell<Duration>,
-    /// When it was told last how far this node follows the configuration, with its proof.
-    proof_told: Cell<Duration>,
+    /// What was last sent about each route.
+    sent_news: RefCell<HashMap<String, SentNews>>,
+    /// When pressures were last sent.
+    pressures_sent_at: Cell<Duration>,
+    /// When the follow state was last sent with its proof.
+    proof_sent_at: Cell<Duration>,
 }
 
-/// What was told of a route.
+/// What was last sent about a route.
 #[derive(Debug)]
-struct ToldNews {
-    at: Duration,
-    /// When it was looked whether there is more to tell.
-    looked: Duration,
-    /// Services that the route was said to lead to.
+struct SentNews {
+    sent_at: Duration,
+    /// When the route was last checked for changes.
+    checked_at: Duration,
+    /// Count of services that the route was said to lead to.
     services_count: usize,
     is_from_outside: bool,
 }
 
-/// A call that has no answer yet; dropping it cancels the call.
+/// Call without an answer; dropping it cancels the call.
 #[derive(Debug)]
 struct OpenCall {
     _cancel: oneshot::Sender<()>,
-    /// Tells it that its sender has committed to it.
+    /// Passes on the commit of the sender.
     commit: Option<oneshot::Sender<()>>,
 }
 
-/// How long room is kept for a call until its sender commits to it: a round trip, and
-/// the pauses of two hosts whose share of a processor is a quota.
-const COMMIT_PATIENCE: Duration = Duration::from_millis(300);
+/// How long room is kept for a call until its sender commits to it: a round trip, and pauses of
+/// both hosts in case their CPU time is limited by a quota.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How often news of a route is told on a link; it changes slowly.
+/// Interval at which unchanged news of a route is sent on a link; it changes slowly.
 const NEWS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often it is looked whether a route is found to lead to a service that wasn't told. In the
-/// first surge this goes up several services, and until it has arrived all requests are let in.
-const NEWS_LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a route is checked for new services that it leads to. At the start of an
+/// overload this news travels up through several services, and until it arrives all requests
+/// are admitted.
+const NEWS_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often pressures are told on a link; the controls that act on them look back
-/// over a tenth of a second.
+/// Interval at which pressures are sent on a link; the controllers that use them look back over
+/// 100 ms.
 const PRESSURES_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How often a proof is told on a link; a proof is good for seconds.
+/// Interval at which a proof of freshness is sent on a link; a proof is valid for seconds.
 const PROOF_INTERVAL: Duration = Duration::from_millis(100);
 
 impl ServedLink {
-    /// News of a route, unless it was told just now.
+    /// News of a route, unless it was sent recently and hasn't changed.
     fn news(&self, node: &RoutedNode, route: &str) -> Option<RouteNews> {
         let now = node.now();
-        let mut told = self.news_told.borrow_mut();
-        let last = told.get_mut(route);
+        let mut sent = self.sent_news.borrow_mut();
+        let last = sent.get_mut(route);
         if let Some(last) = last {
-            if now < last.looked + NEWS_LOOK_INTERVAL {
+            if now < last.checked_at + NEWS_CHECK_INTERVAL {
                 return None;
             }
-            last.looked = now;
+            last.checked_at = now;
         }
         let news = node.route_news(route);
-        let is_told = told.get(route).is_some_and(|last| {
-            now < last.at + NEWS_INTERVAL
+        let is_already_sent = sent.get(route).is_some_and(|last| {
+            now < last.sent_at + NEWS_INTERVAL
                 && last.services_count == news.leads_to.len()
                 && last.is_from_outside == news.is_from_outside
         });
-        if is_told {
+        if is_already_sent {
             return None;
         }
-        let now_told = ToldNews {
-            at: now,
-            looked: now,
+        let now_sent = SentNews {
+            sent_at: now,
+            checked_at: now,
             services_count: news.leads_to.len(),
             is_from_outside: news.is_from_outside,
         };
-        told.insert(String::from(route), now_told);
+        sent.insert(String::from(route), now_sent);
         Some(news)
     }
 
-    /// How far this node follows the configuration, with its proof unless that was told just now.
-    fn followed(&self, node: &RoutedNode) -> FollowState {
+    /// Follow state of this node, with its proof unless one was sent recently.
+    fn follow_state(&self, node: &RoutedNode) -> FollowState {
         let now = node.now();
-        if now < self.proof_told.get() + PROOF_INTERVAL {
+        if now < self.proof_sent_at.get() + PROOF_INTERVAL {
             return node.follow_state();
         }
-        self.proof_told.set(now);
+        self.proof_sent_at.set(now);
         node.follow_state_with_proof()
     }
 
-    /// Pressures on the services that a route leads to, unless told just now.
+    /// Pressures on the services that a route leads to; empty if they were sent recently.
     fn pressures(&self, node: &RoutedNode, route: &str) -> Vec<ServicePressure> {
         let now = node.now();
-        if now < self.pressures_told.get() + PRESSURES_INTERVAL {
+        if now < self.pressures_sent_at.get() + PRESSURES_INTERVAL {
             return Vec::new();
         }
-        self.pressures_told.set(now);
+        self.pressures_sent_at.set(now);
         let leads_to = node.route_news(route).leads_to;
         node.entry_admission.borrow().pressures(now, &leads_to)
     }
 }
 
-/// Serves a link until it ends.
+/// Serves a link until it ends, then cancels its open calls.
 pub(crate) async fn serve_link(node: Rc<RoutedNode>, stream: TcpStream) {
     let link = Rc::new(ServedLink::default());
     let (read, write) = stream.into_split();
@@ -156,10 +157,10 @@
             if link.frames.has_room_for_answers() {
                 on_call(node, link, call.number, frame.held()?);
             } else {
-                // Answers wait in memory for a peer that doesn't read.
+                // The peer doesn't read, so answers would pile up in memory.
                 node.metrics.count("link", "unread_answers");
                 let refusal = LinkAnswer::not_run(NotRunReason::Full);
-                tell_answer(node, link, call.number, call.route, &refusal);
+                send_answer(node, link, call.number, call.route, &refusal);
             }
         }
         FrameHead::Cancel { number } => {
@@ -169,7 +170,7 @@
             let mut open = link.open.borrow_mut();
             let commit = open.get_mut(&number).and_then(|open| open.commit.take());
             if let Some(commit) = commit {
-                // Room that was kept too long is gone; the answer says so.
+                // If the receiver is gone, the room was given up; the answer says so.
                 let _ = commit.send(());
             }
         }
@@ -221,7 +222,7 @@
     run_on_worker(node, call);
 }
 
-/// A call of another node that is to be run.
+/// Call of another node that is about to run.
 #[derive(Debug)]
 pub(super) struct ServedCall {
     link: Rc<ServedLink>,
@@ -232,7 +233,7 @@
 }
 
 impl ServedCall {
-    /// Runs it and tells its sender what came of it.
+    /// Runs the call and sends its outcome to the other node, unless it was cancelled.
     pub(super) async fn run(self, node: &Rc<RoutedNode>) {
         let Self {
             link,
@@ -241,7 +242,7 @@
             cancelled,
             committed,
         } = self;
-        // It was read as a call when it came.
+        // The head was parsed when the frame arrived.
         let Ok(FrameHead::Call(call)) = frame.head() else {
             return;
         };
@@ -249,23 +250,23 @@
         let confirmed = async {
             !needs_commit || {
                 link.frames.push(&FrameHead::Granted { number });
-                let committed = tokio::time::timeout(COMMIT_PATIENCE, committed);
+                let committed = tokio::time::timeout(COMMIT_TIMEOUT, committed);
                 matches!(committed.await, Ok(Ok(())))
             }
         };
         let cancelled = async {
-            // The sender is only ever dropped, which says that the call is cancelled.
+            // Nothing is ever sent: dropping the sender cancels the call.
             let _ = cancelled.await;
         };
         let answer = run_locally(node, &call, &frame.payload, confirmed, cancelled).await;
         let is_wanted = link.open.borrow_mut().remove(&number).is_some();
         if is_wanted {
-            tell_answer(node, &link, number, call.route, &answer);
+            send_answer(node, &link, number, call.route, &answer);
         }
     }
 }
 
-fn tell_answer(
+fn send_answer(
     node: &RoutedNode,
     link: &ServedLink,
     number: CallNumber,
@@ -277,7 +278,7 @@
         outcome: answer.outcome,
         is_leaving: answer.is_leaving,
         report: node.gate_report(),
-        followed: link.followed(node),
+        followed: link.follow_state(node),
         news: link.news(node, route),
         pressures: link.pressures(node, route),
     });
--- a/crates/kumquatquayd/src/routed/mod.rs
+++ b/crates/kumquatquayd/src/routed/mod.rs
@@ -1,14 +1,12 @@
-//! A node that carries calls on configured routes.
+//! A node that forwards calls on configured routes.
 //!
-//! Callers and the backend server of this host send calls to the entry listener.
-//! A call on a route goes to the node beside a backend server of the route's
-//! service, over a link that the two nodes keep, and that node hands it to its
-//! backend server when there is room. Who the members are is found out by the same
-//! membership as in a node with intents.
+//! Callers and the backend server of this host send calls to the entry listener. A call on a
+//! route is forwarded over a link to a node whose host runs a backend server of the route's
+//! service; that node passes it to its backend server when there is room. Nodes find each other
+//! by the same membership as nodes with intents.
 //!
-//! The platform on which the nodes run fills two interfaces: [`Dialect`], how
-//! requests and reports are written, and [`PlatformStore`], where what lasts is
-//! kept.
+//! A platform implements two interfaces: [`Dialect`], the format of requests and reports, and
+//! [`PlatformStore`], the access to durable data.
 
 mod admission;
 mod backend_pool;
@@ -20,6 +18,7 @@
 mod count_guard;
 mod entry;
 mod forwarding;
+mod freshness;
 mod held_requests;
 mod http_io;
 mod initial_health_check;
@@ -34,18 +33,17 @@
 mod node;
 mod node_metrics;
 mod pipelining;
-mod proofs;
 mod quotas;
 mod reports;
 mod request_frame;
 mod request_log;
 mod retry_budgets;
 mod route_demand_log;
-mod routes_watch;
 mod server_notices;
 mod settings;
 mod start;
 mod started_request;
+mod store_polling;
 mod store_restore;
 
 pub use interface::{
--- a/crates/kumquatquayd/src/routed/pipelining.rs
+++ b/crates/kumquatquayd/src/routed/pipelining.rs
@@ -148,7 +148,7 @@
     node.metrics.count("refused", "unread_answers");
     if node.metrics.take_log_permit(node.now()) {
         log::warn!(event = "answers_unread", held_bytes = node.held_answers.get().bytes();
-                "callers leave too many answers unread; requests are refused");
+            "callers leave too many answers unread; requests are refused");
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     local_answer(
--- a/crates/kumquatquayd/src/routed/start.rs
+++ b/crates/kumquatquayd/src/routed/start.rs
@@ -1,4 +1,4 @@
-//! Runs a node on configured routes, from its start to its stop.
+//! Runs a node with configured routes, from start to shutdown.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -23,35 +23,35 @@
     pipelining::serve_caller,
     quotas::run_quota_loans,
     reports::{serve_metrics, serve_readiness, serve_report},
-    routes_watch::{fetch_configuration_from_peers, follow_routes},
     settings::RoutedSettings,
+    store_polling::{fetch_configuration_from_peers, poll_store},
 };
 use crate::{clock::incarnation, control, engine::Engine};
 
-/// What is left of the grace when the node closes down, whatever is under way.
+/// Time left of the grace period when the node ends, whatever is still in progress.
 const GRACE_MARGIN: Duration = Duration::from_millis(600);
 
-/// How long a node that is asked to stop keeps its connections open. Callers are
-/// told by its readiness, which is asked for once a second, and by each answer.
+/// How long a node keeps its connections open after a request to stop. Callers notice through
+/// the readiness check, which they send once a second, and through each answer.
 const LEAVING_TIME: Duration = Duration::from_millis(2_800);
 
-/// Part of [`LEAVING_TIME`] in which a node that stops goes on taking calls of other nodes
-/// for its backend server, which nobody else can reach. The news that it takes no more
-/// has half a second to spread then, and what it took has more than half of the grace to
-/// end. With five of sixteen nodes stopping in turn, each service of three backend servers
-/// lacked one of them for 1.6 s longer.
-const LATE_LEAVING_RATIO: f64 = 0.55;
+/// Part of [`LEAVING_TIME`] in which a stopping node still accepts calls of other nodes for its
+/// backend server, which no other node can reach. After it, half a second is left for the news
+/// of the stop to spread, and more than half of the grace period for the accepted calls.
+/// Without this delay, when five of sixteen nodes stopped in turn, each service with three
+/// backend servers lacked one of them for 1.6 s longer.
+const DELAYED_SHUTDOWN_RATIO: f64 = 0.55;
 
-/// How often a node that stops looks whether anything is under way.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping node checks for work in progress.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a node until `stop` is done and what was under way has ended.
+/// Runs a node until `stop` completes and the work in progress has ended.
 ///
-/// It runs on the thread of its caller, inside a `tokio` `LocalSet`.
+/// It must be called inside a `tokio` `LocalSet`, on whose thread it runs.
 ///
 /// # Errors
 ///
-/// An address that can't be bound.
+/// Fails if an address can't be bound.
 pub async fn run(
     settings: RoutedSettings,
     dialect: Dialect,
@@ -82,7 +82,7 @@
     tasks.spawn(run_ticks(Arc::clone(&engine)));
     tasks.spawn(run_effects(engine, effects, control_udp, key));
     tasks.spawn_local(follow_members(Rc::clone(&node)));
-    tasks.spawn_local(follow_routes(Rc::clone(&node), store.clone()));
+    tasks.spawn_local(poll_store(Rc::clone(&node), store.clone()));
     tasks.spawn_local(join_through_register(Rc::clone(&node), store));
     tasks.spawn_local(reintroduce_to_gone_members(Rc::clone(&node)));
     tasks.spawn_local(watch_links(Rc::clone(&node)));
@@ -94,7 +94,7 @@
     tasks.spawn_local(fetch_configuration_from_peers(Rc::clone(&node)));
     log_start(&node);
     stop.await;
-    leave(&node).await;
+    shut_down(&node).await;
     tasks.end();
     Ok(())
 }
@@ -123,7 +123,7 @@
         entry:% = settings.listen.entry,
         links:% = settings.listen.links,
         control:% = settings.listen.control;
-        "the node serves"
+        "the node is running"
     );
 }
 
@@ -182,46 +182,46 @@
     ));
 }
 
-/// Leaves: callers are sent elsewhere, then connections close, then the node ends
-/// once nothing is under way, at the latest when the grace is over.
-async fn leave(node: &Rc<RoutedNode>) {
+/// Shuts the node down: callers are asked to use other nodes, then connections close, and the
+/// node ends when no work is in progress, at the latest at the end of the grace period.
+async fn shut_down(node: &Rc<RoutedNode>) {
     let grace = node.settings.bounds.grace.saturating_sub(GRACE_MARGIN);
-    let began = node.now();
-    let until = began + grace;
+    let started = node.now();
+    let deadline = started + grace;
     log::info!(event = "stopping", grace_ms = grace.as_millis() as u64,
         in_flight = node.in_flight_count.get() as u64;
-        "the node was asked to stop");
+        "the node was requested to stop");
     node.stop.send_replace(StopPhase::Leaving);
     let leaving = LEAVING_TIME.min(grace);
     let serving = if node.is_on(Mechanism::DelayedShutdown) {
-        leaving.mul_f64(LATE_LEAVING_RATIO)
+        leaving.mul_f64(DELAYED_SHUTDOWN_RATIO)
     } else {
         Duration::ZERO
     };
     tokio::time::sleep(serving).await;
     let grace = grace.saturating_sub(serving);
     node.engine.handle(Input::Stopping { grace });
-    // A node that is paused meanwhile takes no request for longer than that: what it took then
-    // would be cut off at the end of the grace.
-    let rest = (began + leaving).saturating_sub(node.now());
-    tokio::time::sleep(rest).await;
+    // If the process was suspended meanwhile, the period isn't extended: requests accepted then
+    // would be cut off at the end of the grace period.
+    let remaining = (started + leaving).saturating_sub(node.now());
+    tokio::time::sleep(remaining).await;
     node.stop.send_replace(StopPhase::Closing);
-    finish(node, until).await;
-    log::info!(event = "stopped", cut = node.in_flight_count.get() as u64; "the node has left");
+    wait_until_idle(node, deadline).await;
+    log::info!(event = "stopped", cut = node.in_flight_count.get() as u64; "the node has stopped");
 }
 
-/// Waits until nothing is under way and the bytes of the last answer are written.
+/// Waits until no work is in progress and the bytes of the last answer are written.
 ///
-/// In that last moment nothing is taken, calls of backend servers included: what was taken
-/// then would be cut off when the process ends, with its run under way elsewhere.
-async fn finish(node: &RoutedNode, until: Duration) {
+/// During the final check nothing is accepted, calls of backend servers included: they would be
+/// cut off at the end of the process while their runs go on elsewhere.
+async fn wait_until_idle(node: &RoutedNode, deadline: Duration) {
     loop {
-        while is_busy(node) && node.now() < until {
-            tokio::time::sleep(STOP_LOOK).await;
+        while is_busy(node) && node.now() < deadline {
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         node.stop.send_replace(StopPhase::Ending);
-        tokio::time::sleep(STOP_LOOK).await;
-        if !is_busy(node) || node.now() >= until {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+        if !is_busy(node) || node.now() >= deadline {
             return;
         }
     }
