--- a/crates/kumquatquay-core/src/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/src/routed/server_rate_limit.rs
@@ -7,66 +7,67 @@
     routed::{KnownLimit, RateReport},
 };
 
-/// Calls that may begin at once after a pause, in seconds of the limit, beside one.
+/// Burst capacity of the token bucket beyond one call, as a time at the rate limit.
 ///
-/// Calls come unevenly: without it what the limit allows in a quiet moment would be lost.
+/// Calls arrive unevenly; without a burst the tokens of quiet moments would be lost.
 const BURST_S: f64 = 0.25;
 
-/// Calls a second that are handed over whatever the limit, as trials: a backend server that gets
-/// none gives no answers, and could never say that its limit is over.
-const TRIALS_PER_S: f64 = 0.2;
+/// Lowest rate at which calls are forwarded, whatever the limit.
+///
+/// A backend server that gets no calls gives no answers, and could never lift its limit.
+const MIN_RATE_PER_S: f64 = 0.2;
 
-/// What tokens may lack of a whole one, for what is lost in rounding.
-const ROUNDING: f64 = 1e-6;
+/// Shortfall with which tokens still count as one, to allow for rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What an answer says of the calls a second that its backend server takes.
+/// Rate limit of the backend server as stated in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdvertisedRateLimit {
-    /// Nothing: it takes what its slots allow.
+    /// No limit other than its slots.
     #[default]
     None,
-    /// So many calls a second, of all callers together.
+    /// Calls per second that it accepts of all callers together.
     PerSecond(f64),
-    /// Something that can't be read.
+    /// A value that can't be parsed.
     Malformed,
 }
 
-/// How a limit came, changed or ended.
+/// A new, changed or lifted rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitChange {
-    /// Calls a second until now; `None` without a limit.
+    /// Previous limit in calls per second; `None` without one.
     pub from_per_s: Option<f64>,
-    /// Calls a second from now on; `None` without a limit.
+    /// New limit in calls per second; `None` without one.
     pub to_per_s: Option<f64>,
 }
 
-/// The rate limit of the backend server of this host, and how far it is used up.
+/// Token bucket for the rate limit that the backend server of this host advertises.
 ///
-/// A token bucket beside the backend server. All calls of all hosts pass here, so one count is
-/// enough and none is shared. While no limit is advertised it counts nothing.
+/// All calls of all hosts to the backend server pass its gate, so this one bucket suffices and no
+/// state is shared between hosts. Without an advertised limit nothing is counted.
 #[derive(Debug, Default)]
 pub struct ServerRateLimit {
-    /// Life that advertises it.
+    /// Life of the backend server.
     life: Option<BackendLife>,
     per_s: Option<f64>,
-    /// When it was heard of last.
-    heard: Duration,
-    /// How old it was then; 0 if the backend server itself said it.
-    heard_age: Duration,
-    /// Whether an answer of this life was read here.
-    is_first_hand: bool,
-    /// Calls that may begin now.
+    /// When the limit was last advertised by the backend server or by a caller.
+    advertised_at: Duration,
+    /// Age of the limit at that time; 0 if the backend server itself advertised it.
+    advertised_age: Duration,
+    /// Whether this node has read an answer of this life.
+    has_own_answer: bool,
+    /// Tokens at `refilled_at`; each one allows one call.
     tokens: f64,
-    /// When the tokens were counted.
-    counted: Duration,
+    /// When the tokens were last refilled.
+    refilled_at: Duration,
 }
 
 impl ServerRateLimit {
-    // Learning
+    // Observations
 
-    /// The life that counts; a limit of another one is over.
+    /// Sets the life of the backend server; a limit of another life is dropped.
     pub fn on_life(&mut self, life: &BackendLife) {
-        if !self.is_of(life) {
+        if !self.matches(life) {
             *self = Self::default();
         }
         if self.life.as_ref() != Some(life) {
@@ -74,15 +75,15 @@
         }
     }
 
-    fn is_of(&self, life: &BackendLife) -> bool {
+    fn matches(&self, life: &BackendLife) -> bool {
         self.life.as_ref().is_some_and(|known| known.may_be(life))
     }
 
-    /// Takes in what the answer of this life to a run that began at `began` says.
+    /// Updates the limit from an answer of this life, to a run that began at `began`.
     ///
-    /// An answer without a limit ends it if its run began after the limit was advertised last.
-    /// Answers to longer runs may be read late: without this, one that was written before the
-    /// server advertised its limit would end it.
+    /// An answer without a limit lifts it only if its run began after the limit was last advertised.
+    /// Answers to long runs may be read late, and one that was written before the server began to
+    /// advertise its limit must not lift it. A malformed limit is ignored.
     pub fn on_answer(
         &mut self,
         now: Duration,
@@ -90,7 +91,7 @@
         began: Duration,
         limit: AdvertisedRateLimit,
     ) -> Option<RateLimitChange> {
-        if !self.is_of(life) {
+        if !self.matches(life) {
             return None;
         }
         let per_s = match limit {
@@ -98,19 +99,19 @@
             AdvertisedRateLimit::PerSecond(per_s) => Some(per_s),
             AdvertisedRateLimit::None => None,
         };
-        self.is_first_hand = true;
-        if per_s.is_none() && began + self.heard_age < self.heard {
+        self.has_own_answer = true;
+        if per_s.is_none() && began + self.advertised_age < self.advertised_at {
             return None;
         }
-        self.hear(now, Duration::ZERO);
+        self.set_advertised(now, Duration::ZERO);
         self.set(now, per_s)
     }
 
-    /// Takes in what a caller was told of this life; how that changes the limit.
+    /// Updates the limit from what a caller knows of this life.
     ///
-    /// A node that was started again beside a limited backend server knows of no limit until an
-    /// answer comes, and by then the whole load may have been handed over. Its callers know. Once
-    /// the backend server itself has answered here, they know nothing better.
+    /// A node that restarts knows no limit until the first answer, and may have forwarded the full
+    /// load by then; its callers still know the limit. What callers know is ignored once the backend
+    /// server itself has answered here.
     pub fn on_caller_report(
         &mut self,
         now: Duration,
@@ -118,32 +119,32 @@
         known: KnownLimit,
     ) -> Option<RateLimitChange> {
         let age = Duration::from_millis(known.age_ms);
-        let is_news = self.per_s.is_none() || age < self.age(now);
-        if self.is_first_hand || !self.is_of(life) || !is_news {
+        let is_newer = self.per_s.is_none() || age < self.age(now);
+        if self.has_own_answer || !self.matches(life) || !is_newer {
             return None;
         }
-        self.hear(now, age);
+        self.set_advertised(now, age);
         self.set(now, Some(known.limit_milli_per_s as f64 / 1_000.0))
     }
 
-    // Reading
+    // State
 
-    /// Calls a second that it takes, if it has said so.
+    /// The limit in calls per second, if there is one.
     pub fn per_s(&self) -> Option<f64> {
         self.per_s
     }
 
-    /// How long ago the backend server advertised it.
+    /// Age of the limit, since the backend server advertised it.
     pub fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.heard) + self.heard_age
+        now.saturating_sub(self.advertised_at) + self.advertised_age
     }
 
-    /// Whether one more call may begin.
+    /// Whether there is a token for one more call.
     pub fn has_token(&self, now: Duration) -> bool {
-        self.per_s.is_none() || self.tokens_at(now) >= 1.0 - ROUNDING
+        self.per_s.is_none() || self.tokens_at(now) >= 1.0 - ROUNDING_TOLERANCE
     }
 
-    /// Time until a call may begin that waits behind so many others.
+    /// Time until a call may begin with this many calls waiting ahead of it.
     pub fn wait(&self, now: Duration, ahead_count: usize) -> Duration {
         let Some(rate_per_s) = self.rate_per_s() else {
             return Duration::ZERO;
@@ -152,7 +153,7 @@
         Duration::from_secs_f64(missing.max(0.0) / rate_per_s)
     }
 
-    /// What callers are told, with so many calls waiting.
+    /// The report for callers, with this many calls waiting.
     pub fn report(&self, now: Duration, waiting_count: usize) -> Option<RateReport> {
         let per_s = self.per_s?;
         Some(RateReport {
@@ -161,36 +162,36 @@
         })
     }
 
-    // Counting
+    // Tokens
 
-    /// A call begins.
+    /// Takes a token for a call that begins.
     pub fn take(&mut self, now: Duration) {
         if self.per_s.is_some() {
-            self.count(now);
+            self.refill(now);
             self.tokens -= 1.0;
         }
     }
 
-    /// A call for which a token was taken never reached the backend server.
+    /// Returns the token of a call that never reached the backend server.
     pub fn give_back(&mut self, now: Duration) {
         if self.per_s.is_some() {
-            self.count(now);
-            self.tokens = (self.tokens + 1.0).min(self.capacity());
+            self.refill(now);
+            self.tokens = (self.tokens + 1.0).min(self.burst_count());
         }
     }
 
-    fn hear(&mut self, now: Duration, age: Duration) {
-        self.heard = now;
-        self.heard_age = age;
+    fn set_advertised(&mut self, now: Duration, age: Duration) {
+        self.advertised_at = now;
+        self.advertised_age = age;
     }
 
     fn set(&mut self, now: Duration, per_s: Option<f64>) -> Option<RateLimitChange> {
-        self.count(now);
+        self.refill(now);
         let from_per_s = std::mem::replace(&mut self.per_s, per_s);
-        // What a higher limit has left must not pass for room under a lower one.
+        // The tokens left of a higher limit must not allow a burst under a lower one.
         self.tokens = match from_per_s {
             None => 0.0,
-            Some(_) => self.tokens.min(self.capacity()),
+            Some(_) => self.tokens.min(self.burst_count()),
         };
         (from_per_s != per_s).then_some(RateLimitChange {
             from_per_s,
@@ -198,24 +199,24 @@
         })
     }
 
-    fn count(&mut self, now: Duration) {
+    fn refill(&mut self, now: Duration) {
         self.tokens = self.tokens_at(now);
-        self.counted = now;
+        self.refilled_at = now;
     }
 
     fn tokens_at(&self, now: Duration) -> f64 {
         let Some(rate_per_s) = self.rate_per_s() else {
             return 0.0;
         };
-        let passed_s = now.saturating_sub(self.counted).as_secs_f64();
-        (self.tokens + passed_s * rate_per_s).min(self.capacity())
+        let passed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
+        (self.tokens + passed_s * rate_per_s).min(self.burst_count())
     }
 
     fn rate_per_s(&self) -> Option<f64> {
-        self.per_s.map(|per_s| per_s.max(TRIALS_PER_S))
+        self.per_s.map(|per_s| per_s.max(MIN_RATE_PER_S))
     }
 
-    fn capacity(&self) -> f64 {
+    fn burst_count(&self) -> f64 {
         1.0 + BURST_S * self.rate_per_s().unwrap_or_default()
     }
 }
