--- a/crates/kumquatquayd/src/routed/call_workers.rs
+++ b/crates/kumquatquayd/src/routed/call_workers.rs
@@ -1,7 +1,7 @@
-//! Tasks that run the calls of other nodes, one after the other.
+//! Worker tasks that run the calls of other nodes.
 //!
-//! A new task takes an allocation of some kilobytes; one that has run a call waits for the next
-//! one instead.
+//! A new task needs an allocation of several kilobytes, so a task that has run a call is reused for
+//! the next one.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -9,16 +9,16 @@
 
 use super::{link_server::ServedCall, node::RoutedNode};
 
-/// Tasks that are kept while there is nothing to run.
-const KEPT_COUNT: usize = 16;
+/// Idle worker tasks, at most.
+const IDLE_LIMIT_COUNT: usize = 16;
 
-/// The tasks that wait for a call.
+/// The idle worker tasks.
 #[derive(Debug, Default)]
 pub(crate) struct CallWorkers {
     idle: RefCell<Vec<Rc<CallWorker>>>,
 }
 
-/// One of the tasks.
+/// A worker task.
 #[derive(Debug, Default)]
 struct CallWorker {
     next: RefCell<Option<ServedCall>>,
@@ -26,7 +26,7 @@
 }
 
 impl CallWorker {
-    /// The call that it is to run next.
+    /// Waits for the next call.
     async fn next(&self) -> ServedCall {
         loop {
             if let Some(call) = self.next.borrow_mut().take() {
@@ -37,26 +37,26 @@
     }
 }
 
-/// Runs a call, in a task that has nothing to do or in a new one.
+/// Runs a call in an idle worker task, or in a new one if none is idle.
 pub(super) fn run_on_worker(node: &Rc<RoutedNode>, call: ServedCall) {
     let idle = node.call_workers.idle.borrow_mut().pop();
     let is_new = idle.is_none();
-    let runner = idle.unwrap_or_default();
-    runner.next.replace(Some(call));
+    let worker = idle.unwrap_or_default();
+    worker.next.replace(Some(call));
     if is_new {
-        node.tasks.spawn_local(run_calls(Rc::clone(node), runner));
+        node.tasks.spawn_local(run_worker(Rc::clone(node), worker));
     } else {
-        runner.wake.notify_one();
+        worker.wake.notify_one();
     }
 }
 
-async fn run_calls(node: Rc<RoutedNode>, runner: Rc<CallWorker>) {
+async fn run_worker(node: Rc<RoutedNode>, worker: Rc<CallWorker>) {
     loop {
-        runner.next().await.run(&node).await;
+        worker.next().await.run(&node).await;
         let mut idle = node.call_workers.idle.borrow_mut();
-        if idle.len() >= KEPT_COUNT {
+        if idle.len() >= IDLE_LIMIT_COUNT {
             return;
         }
-        idle.push(Rc::clone(&runner));
+        idle.push(Rc::clone(&worker));
     }
 }
--- a/crates/kumquatquayd/src/routed/retry_budgets.rs
+++ b/crates/kumquatquayd/src/routed/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! What this node sends once more, within the budget that all nodes share.
+//! Retries of this node, within the retry budgets that all nodes share.
 
 use std::collections::HashMap;
 
@@ -7,97 +7,103 @@
 
 use super::node::RoutedNode;
 
-/// Parts of a retry budget: for calls that nodes send once more, for calls that
-/// repeated runs make, and for calls that a gate hands over once more. The first kind
-/// is known where a call is sent, the second where its cause is sent again, the third
-/// at the gate, so none can count the others. A tenth is left for what is counted
-/// differently elsewhere.
-const OWN_RATIO: f64 = 0.35;
-const CAUSED_RATIO: f64 = 0.25;
+/// Parts of a retry budget: for calls that nodes retry, for calls that retried runs make, and for
+/// calls that a gate forwards again. The first kind is known to the sender of the call, the second
+/// to the sender of the call whose run is retried, the third to the gate, so none of them can count
+/// the others. A tenth is left for calls that are counted differently elsewhere.
+const DIRECT_RATIO: f64 = 0.35;
+const NESTED_RATIO: f64 = 0.25;
 pub(super) const GATE_RETRY_RATIO: f64 = 0.3;
 
-/// Repeats of this node, by service.
+/// Retry budgets of this node, by service.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudgets {
-    own: HashMap<ServiceName, RetryBudget>,
-    caused: HashMap<ServiceName, RetryBudget>,
+    direct: HashMap<ServiceName, RetryBudget>,
+    nested: HashMap<ServiceName, RetryBudget>,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Repeats {
-    /// Calls that this node sends once more.
-    Own,
-    /// Calls that backend servers make in runs that are repeats.
-    Caused,
+enum RetryKind {
+    /// Calls that this node retries.
+    Direct,
+    /// Calls that backend servers make in retried runs.
+    Nested,
 }
 
 impl RoutedNode {
-    /// Counts a call for the retry budgets of its service and of those behind it.
+    /// Counts a call for the retry budgets of its service and of the services that its run calls.
     pub(crate) fn deposit_retry_budget(&self, route: &str, service: &str) {
         let now = self.now();
-        self.with_window(service, Repeats::Own, |window| window.on_requests(now, 1.0));
-        for (behind, calls_count) in self.calls_behind(route, service) {
-            self.with_window(&behind, Repeats::Caused, |window| {
-                window.on_requests(now, calls_count);
+        self.with_budget(service, RetryKind::Direct, |budget| {
+            budget.on_requests(now, 1.0)
+        });
+        for (nested_service, calls_count) in self.nested_calls(route, service) {
+            self.with_budget(&nested_service, RetryKind::Nested, |budget| {
+                budget.on_requests(now, calls_count);
             });
         }
     }
 
-    /// Takes a repeat of a call out of the retry budgets, if there is room in all.
+    /// Withdraws a retry of a call from the retry budgets, if all of them have room.
     ///
-    /// The calls that a repeated run makes are repeats too, at the services behind.
+    /// The calls that the retried run makes count as retries at their services.
     pub(crate) fn withdraw_retry_budget(&self, route: &str, service: &str) -> bool {
         let now = self.now();
-        let behind = self.calls_behind(route, service);
-        let mut has_room =
-            self.with_window(service, Repeats::Own, |window| window.has_room(now, 1.0));
-        for (service, calls_count) in &behind {
-            has_room &= self.with_window(service, Repeats::Caused, |window| {
-                window.has_room(now, *calls_count)
+        let nested_calls = self.nested_calls(route, service);
+        let mut has_room = self.with_budget(service, RetryKind::Direct, |budget| {
+            budget.has_room(now, 1.0)
+        });
+        for (service, calls_count) in &nested_calls {
+            has_room &= self.with_budget(service, RetryKind::Nested, |budget| {
+                budget.has_room(now, *calls_count)
             });
         }
         if !has_room {
             return false;
         }
-        self.with_window(service, Repeats::Own, |window| window.on_retries(now, 1.0));
-        for (service, calls_count) in &behind {
-            self.with_window(service, Repeats::Caused, |window| {
-                window.on_retries(now, *calls_count);
+        self.with_budget(service, RetryKind::Direct, |budget| {
+            budget.on_retries(now, 1.0)
+        });
+        for (service, calls_count) in &nested_calls {
+            self.with_budget(service, RetryKind::Nested, |budget| {
+                budget.on_retries(now, *calls_count);
             });
         }
         true
     }
 
     /// Calls that one run of a route makes at services other than its own.
-    fn calls_behind(&self, route: &str, service: &str) -> Vec<(ServiceName, f64)> {
-        let levels = self.entry_admission.borrow();
-        let leads_to = levels.demands(self.now(), route, service).iter();
-        let behind = leads_to.filter(|demand| demand.service != service);
-        behind
+    fn nested_calls(&self, route: &str, service: &str) -> Vec<(ServiceName, f64)> {
+        let entry_admission = self.entry_admission.borrow();
+        let demands = entry_admission.demands(self.now(), route, service).iter();
+        let nested_calls = demands.filter(|demand| demand.service != service);
+        nested_calls
             .map(|demand| (demand.service.clone(), f64::from(demand.calls)))
             .collect()
     }
 
-    fn with_window<T>(
+    fn with_budget<T>(
         &self,
         service: &str,
-        kind: Repeats,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        kind: RetryKind,
+        operation: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
-        let budget = self.settings.retry_budget;
+        let budget_settings = self.settings.retry_budget;
         let mut retry_budgets = self.retry_budgets.borrow_mut();
-        let (windows, part) = match kind {
-            Repeats::Own => (&mut retry_budgets.own, OWN_RATIO),
-            Repeats::Caused => (&mut retry_budgets.caused, CAUSED_RATIO),
+        let (budgets, ratio_part) = match kind {
+            RetryKind::Direct => (&mut retry_budgets.direct, DIRECT_RATIO),
+            RetryKind::Nested => (&mut retry_budgets.nested, NESTED_RATIO),
         };
-        let extra_count = budget.extra_count * part / self.nodes_count.get() as f64;
-        if !windows.contains_key(service) {
-            let ratio = budget.ratio * part;
-            let window = RetryBudget::new(budget.window, ratio, extra_count);
-            windows.insert(ServiceName::from(service), window);
+        let extra_count = budget_settings.extra_count * ratio_part / self.nodes_count.get() as f64;
+        if !budgets.contains_key(service) {
+            let ratio = budget_settings.ratio * ratio_part;
+            let budget = RetryBudget::new(budget_settings.window, ratio, extra_count);
+            budgets.insert(ServiceName::from(service), budget);
         }
-        let window = windows.get_mut(service).expect("it was put in just now");
-        window.set_extra_count(extra_count);
-        act(window)
+        let budget = budgets
+            .get_mut(service)
+            .expect("the budget was inserted above");
+        budget.set_extra_count(extra_count);
+        operation(budget)
     }
 }
--- a/crates/kumquatquayd/src/routed/route_demand_log.rs
+++ b/crates/kumquatquayd/src/routed/route_demand_log.rs
@@ -21,8 +21,8 @@
 
 /// The demand that was logged last for each route.
 ///
-/// Root requests are refused because of the services that their route is assumed to call. Only these
-/// lines show afterwards whether a request was refused, or admitted, on a wrong assumption.
+/// Root requests are refused because of the services that their route is assumed to call. Only
+/// these lines show afterwards whether a request was refused, or admitted, on a wrong assumption.
 #[derive(Debug, Default)]
 pub(crate) struct RouteDemandLog {
     logged: RefCell<HashMap<(String, ServiceName), LoggedDemand>>,
--- a/crates/kumquatquayd/src/routed/started_request.rs
+++ b/crates/kumquatquayd/src/routed/started_request.rs
@@ -1,4 +1,5 @@
-//! A request of a caller that was started before its turn, and what counts while it is held.
+//! A pipelined request that is served before the HTTP library reads it, and the guards that count
+//! it and its answer.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -13,18 +14,18 @@
     node::RoutedNode,
 };
 
-/// A request that was started before its turn.
+/// A pipelined request that is served before the HTTP library reads it.
 pub(crate) struct StartedRequest {
     node: Rc<RoutedNode>,
-    /// Bytes of all of it.
+    /// Size of head and body.
     pub(crate) size_bytes: usize,
-    /// How it was read.
+    /// The head as it was read ahead.
     parts: Parts,
     body: Bytes,
     answer: Option<JoinHandle<HeldAnswer>>,
 }
 
-/// An answer that waits for its turn.
+/// A complete answer that is not written yet.
 pub(crate) struct HeldAnswer {
     pub(crate) answer: Response<BufferedBody>,
     _held: HeldBytesGuard,
@@ -32,19 +33,19 @@
     pub(crate) in_flight: InFlightGuard,
 }
 
-/// Bytes of an answer that is held, as they count for its node.
+/// Counts the bytes of an answer for the node until they are written.
 pub(crate) struct HeldBytesGuard {
     node: Rc<RoutedNode>,
     bytes: usize,
 }
 
-/// Bytes of an answer that waits for its turn, as they count for its connection.
+/// Counts the bytes of an answer for its connection until the HTTP library reads the request.
 struct WaitingBytesGuard {
-    of_connection: Rc<Cell<usize>>,
+    connection_bytes: Rc<Cell<usize>>,
     bytes: usize,
 }
 
-/// A request that counts as under way.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlightGuard {
     node: Rc<RoutedNode>,
 }
@@ -67,7 +68,7 @@
 
 impl HeldBytesGuard {
     pub(crate) fn new(node: &Rc<RoutedNode>, answer: &Response<BufferedBody>) -> Self {
-        let bytes = size_of(answer);
+        let bytes = size_bytes_of(answer);
         let mut held = node.held_answers.get();
         held.add(bytes);
         node.held_answers.set(held);
@@ -87,11 +88,11 @@
 }
 
 impl WaitingBytesGuard {
-    fn new(of_connection: Rc<Cell<usize>>, answer: &Response<BufferedBody>) -> Self {
-        let bytes = size_of(answer);
-        of_connection.set(of_connection.get() + bytes);
+    fn new(connection_bytes: Rc<Cell<usize>>, answer: &Response<BufferedBody>) -> Self {
+        let bytes = size_bytes_of(answer);
+        connection_bytes.set(connection_bytes.get() + bytes);
         Self {
-            of_connection,
+            connection_bytes,
             bytes,
         }
     }
@@ -99,18 +100,17 @@
 
 impl Drop for WaitingBytesGuard {
     fn drop(&mut self) {
-        let of_connection = &self.of_connection;
-        of_connection.set(of_connection.get() - self.bytes);
+        let connection_bytes = &self.connection_bytes;
+        connection_bytes.set(connection_bytes.get() - self.bytes);
     }
 }
 
-fn size_of(answer: &Response<BufferedBody>) -> usize {
+fn size_bytes_of(answer: &Response<BufferedBody>) -> usize {
     answer.body().size_hint().lower() as usize
 }
 
 impl StartedRequest {
-    /// Starts a request of so many bytes; its answer counts among those that wait on its
-    /// connection until it is taken.
+    /// Starts a request of `size_bytes` bytes. Its answer counts in `waiting_bytes` until it is taken.
     pub(crate) fn start(
         node: &Rc<RoutedNode>,
         caller: Option<CallerAddress>,
@@ -119,19 +119,19 @@
         waiting_bytes: Rc<Cell<usize>>,
     ) -> Self {
         node.metrics.count("pipelined", "started");
-        let (mut parts, whole) = request.into_parts();
-        let body = CallerBody::Right(whole.clone().into());
-        let kept = parts.clone();
+        let (mut parts, body_bytes) = request.into_parts();
+        let body = CallerBody::Right(body_bytes.clone().into());
+        let kept_parts = parts.clone();
         if let Some(caller) = caller {
             parts.extensions.insert(caller);
         }
         let request = Request::from_parts(parts, body);
         let in_flight = InFlightGuard::new(node);
-        let serving = Rc::clone(node);
+        let task_node = Rc::clone(node);
         let answer = tokio::task::spawn_local(async move {
-            let answer = serve_entry(Rc::clone(&serving), request).await;
+            let answer = serve_entry(Rc::clone(&task_node), request).await;
             HeldAnswer {
-                _held: HeldBytesGuard::new(&serving, &answer),
+                _held: HeldBytesGuard::new(&task_node, &answer),
                 _waiting: WaitingBytesGuard::new(waiting_bytes, &answer),
                 answer,
                 in_flight,
@@ -140,37 +140,40 @@
         Self {
             node: Rc::clone(node),
             size_bytes,
-            parts: kept,
-            body: whole,
+            parts: kept_parts,
+            body: body_bytes,
             answer: Some(answer),
         }
     }
 
-    /// Whether the HTTP library reads the same head.
-    fn is_head(&self, parts: &Parts) -> bool {
+    /// Whether the HTTP library has read the same head.
+    fn has_same_head(&self, parts: &Parts) -> bool {
         self.parts.method == parts.method
             && self.parts.uri == parts.uri
             && self.parts.version == parts.version
             && self.parts.headers == parts.headers
     }
 
-    /// Its answer, if the HTTP library reads the same request.
+    /// Waits for the answer, if the HTTP library has read the same request. Otherwise returns the
+    /// request as the library has read it.
     pub(crate) async fn answer_if_same(
         mut self,
         request: Request<Bytes>,
     ) -> Result<HeldAnswer, Request<CallerBody>> {
         let (parts, body) = request.into_parts();
-        if !self.is_head(&parts) || body != self.body {
+        if !self.has_same_head(&parts) || body != self.body {
             let request = Request::from_parts(parts, CallerBody::Right(body.into()));
             return Err(request);
         }
-        let task = self.answer.as_mut().expect("it is taken once");
+        let task = self.answer.as_mut().expect("the answer is taken once");
         let answer = task.await;
         self.answer = None;
         match answer.map_err(JoinError::try_into_panic) {
             Ok(held) => Ok(held),
             Err(Ok(panic)) => std::panic::resume_unwind(panic),
-            Err(Err(error)) => unreachable!("its task ends with this one: {error}"),
+            Err(Err(error)) => {
+                unreachable!("the task is aborted only when its request is dropped: {error}")
+            }
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/store_restore.rs
+++ b/crates/kumquatquayd/src/routed/store_restore.rs
@@ -1,4 +1,4 @@
-//! What the node does when the store comes back from a copy.
+//! Reaction of the node to a store that was restored from a backup.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,68 +11,73 @@
 
 use super::{interface::ObservedEras, node::RoutedNode};
 
-/// Least time between lines on eras that make no sense: a store or a node that tells one tells it
-/// with each answer.
-const LINE_PAUSE: Duration = Duration::from_secs(60);
+/// Minimum interval between log lines on ignored eras: a store or a node with such an era reports it
+/// in each answer.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What a node keeps of the store's returns.
+/// State about restores of the store.
 #[derive(Debug, Default)]
 pub(crate) struct StoreRestore {
-    /// Told of each return.
-    news: Notify,
-    /// Whether the register hasn't been told of the last one.
-    is_untold: Cell<bool>,
+    /// Notified of each restore.
+    restored: Notify,
+    /// Whether the last restore has not been handled by [`take`](Self::take) yet.
+    is_pending: Cell<bool>,
     malformed_count: Cell<u64>,
-    /// When the last line on an era that makes no sense was written.
-    line_at: RefCell<Option<Duration>>,
-    /// Whether the store lacked the configuration in force when that was looked at last.
+    /// When an ignored era was last logged.
+    logged_at: RefCell<Option<Duration>>,
+    /// Whether the store lacked the configuration in force at the last check.
     is_behind: Cell<bool>,
 }
 
 impl StoreRestore {
-    /// Whether the store came back since this was asked last.
+    /// Whether the store was restored since the last call.
     pub(crate) fn take(&self) -> bool {
-        self.is_untold.take()
+        self.is_pending.take()
     }
 
-    /// Waits for a return that was not [taken](Self::take).
+    /// Waits for a restore that was not [taken](Self::take).
     pub(crate) async fn wait(&self) {
-        while !self.is_untold.get() {
-            self.news.notified().await;
+        while !self.is_pending.get() {
+            self.restored.notified().await;
         }
     }
 }
 
 impl RoutedNode {
-    /// Takes in what the answers of the store told of its era.
-    pub(crate) fn on_store_eras(&self, told: ObservedEras) {
+    /// Handles the eras in the answers of the store.
+    pub(crate) fn on_store_eras(&self, observed: ObservedEras) {
         let now = self.now();
-        if told.highest.is_some() || told.has_answer_without_era {
-            let news = self
+        if observed.highest.is_some() || observed.has_answer_without_era {
+            let change = self
                 .store_poller
                 .borrow_mut()
-                .on_store_era(now, told.highest);
-            self.on_era_change(news, told.highest, "store");
+                .on_store_era(now, observed.highest);
+            self.on_era_change(change, observed.highest, "store");
         }
-        let malformed_count = told.malformed_count;
+        let malformed_count = observed.malformed_count;
         if self.store_restore.malformed_count.replace(malformed_count) != malformed_count {
-            self.pass_over_era(
+            self.log_ignored_era(
                 "malformed",
-                "an answer of the store tells no number as its era",
+                "the era in an answer of the store is not a number",
             );
         }
     }
 
-    /// Takes in what an era that was told says of the store.
-    pub(crate) fn on_era_change(&self, news: EraChange, era: Option<StoreEra>, from: &'static str) {
-        match news {
+    /// Handles what an observed era means for the store.
+    pub(crate) fn on_era_change(
+        &self,
+        change: EraChange,
+        era: Option<StoreEra>,
+        from: &'static str,
+    ) {
+        match change {
             EraChange::None => {}
             EraChange::First => {
                 log::info!(event = "store_era", era = era, from = from;
-                    "the store tells its era, which rises if it comes back from a copy");
+                    "the store reports its era, which increases when it is restored from a backup");
             }
             EraChange::Implausible => {
-                self.pass_over_era("senseless", "a node tells of an era that is too far ahead");
+                self.log_ignored_era("senseless", "the reported era is too far ahead");
             }
             EraChange::Restored { previous } => {
                 let era = era.unwrap_or_default();
@@ -81,21 +86,21 @@
                 self.metrics.count("store_returned", from);
                 log::warn!(event = "store_returned_from_copy", era = era, before = previous,
                     from = from, in_force = self.route_version();
-                    "the store has lost what was written lately; it is read anew, and this node \
-                     enters itself again");
-                self.store_restore.is_untold.set(true);
-                self.store_restore.news.notify_one();
+                    "the store was restored from a backup and lost recent writes; it is read again, and \
+                     this node registers again");
+                self.store_restore.is_pending.set(true);
+                self.store_restore.restored.notify_one();
                 self.store_poller_wake.notify_one();
             }
         }
     }
 
-    /// The store has answered from an era that is over.
+    /// Handles an answer of the store from a past era.
     pub(crate) fn on_outdated_answer(&self) {
-        self.pass_over_era("outdated", "an answer is of an era that is over");
+        self.log_ignored_era("outdated", "the store answered from a past era");
     }
 
-    /// Tells operators whether the store lacks the configuration in force.
+    /// Logs when the store begins to lack the configuration in force, and when it has it again.
     pub(crate) fn log_store_behind(&self) {
         let is_behind = self.proof.borrow().is_store_behind();
         if self.store_restore.is_behind.replace(is_behind) == is_behind {
@@ -105,20 +110,20 @@
         if is_behind {
             self.metrics.count("store_lacks", "configuration");
             log::warn!(event = "store_lacks_configuration", in_force = in_force;
-                "the store came back without the configuration in force, which stays; it is to \
-                 be written again");
+                "the restored store lacks the configuration in force, which stays in force; write it \
+                 to the store again");
         } else {
             log::info!(event = "store_has_configuration", in_force = in_force;
                 "the store has the configuration in force again, or a newer one");
         }
     }
 
-    fn pass_over_era(&self, why: &'static str, text: &str) {
+    fn log_ignored_era(&self, why: &'static str, text: &str) {
         self.metrics.count("store_era_passed_over", why);
         let now = self.now();
-        let mut line_at = self.store_restore.line_at.borrow_mut();
-        if line_at.is_none_or(|line_at| now >= line_at + LINE_PAUSE) {
-            *line_at = Some(now);
+        let mut logged_at = self.store_restore.logged_at.borrow_mut();
+        if logged_at.is_none_or(|logged_at| now >= logged_at + MIN_LOG_INTERVAL) {
+            *logged_at = Some(now);
             log::warn!(event = "store_era_passed_over", why = why; "{text}");
         }
     }
