--- a/crates/kumquatquay-core/src/routed/call_graph.rs
+++ b/crates/kumquatquay-core/src/routed/call_graph.rs
@@ -1,195 +1,205 @@
-//! Learns which calls a backend server makes while it runs others.
+//! Estimates which routes a backend server calls while it runs requests.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// Length of the spans that are compared with each other.
+/// Length of a sample.
 ///
-/// Shorter than most runs, so that the number of runs under way differs between
-/// spans; some ten calls in each keep their own chance small.
-const SPAN: Duration = Duration::from_millis(50);
+/// It is shorter than most runs, so that the number of runs in progress differs between
+/// samples, and long enough for about ten calls, so that their count varies little by chance.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How much each span counts against the one after it; the mean span is 10 s old.
-const FADE_RATIO: f64 = 0.995;
+/// Weight of a sample relative to the one after it; the mean age of the samples is 10 s.
+const DECAY_RATIO: f64 = 0.995;
 
-/// Spans before anything is said of services with several routes.
-const SPANS_LEAST_COUNT: f64 = 40.0;
+/// Samples, weighted by age, from which on the estimates are fitted.
+const MIN_SAMPLES_COUNT: f64 = 40.0;
 
-/// Standard errors that are taken off an estimate. Routes whose runs make no calls
-/// but happen beside others that do come out as noise around zero; this keeps
-/// them from being taken for routes that lead somewhere. With three, what leads somewhere
-/// is found too late in a surge: searches let in for want of it kept the deepest service's
-/// queue full for ten seconds.
-const CAUTION: f64 = 2.2;
+/// Standard errors by which an estimate must exceed zero to count.
+///
+/// Routes whose runs make no calls but are concurrent with runs that do get estimates around
+/// zero, which must not count as calls. With three standard errors, real calls are found too
+/// late in a surge: the searches admitted until then kept the queue of the deepest service full
+/// for ten seconds.
+const MIN_STANDARD_ERRORS: f64 = 2.2;
 
-/// Calls a run below which a route isn't said to lead there: half of its runs making
-/// one call is the least that is told from noise.
-const CALLS_LEAST_COUNT: f64 = 0.5;
+/// Calls per run below which an edge is left out. One call in half of the runs is the least
+/// that can be distinguished from noise.
+const MIN_CALLS_PER_RUN: f64 = 0.5;
 
-/// Share of failed calls above which runs say nothing of what they make when all is
-/// well: a run that loses one of its first calls ends and makes no others. In an
-/// overload that the entries hold back a tenth fail at times; that is learnt from.
-const FAILED_RATIO: f64 = 0.25;
+/// Share of failed calls from which on samples are ignored.
+///
+/// A run that loses one of its first calls ends without making the others, so it doesn't show
+/// what a successful run calls. While the entries limit an overload, a tenth of the calls fails
+/// at times; such samples are used.
+const MAX_FAILED_RATIO: f64 = 0.25;
 
-/// Weight of the newest span's share of failed calls against those before.
+/// Weight of the newest sample in the moving average of the share of failed calls.
 const FAILED_WEIGHT: f64 = 0.2;
 
-/// Spans after which what was learnt is good enough to be kept: nine seconds of them.
-/// The first two seconds of a surge are not: kept, they let in too much for as long as
-/// it lasted.
-const KEPT_SPANS_COUNT: f64 = 120.0;
+/// Samples, weighted by age, from which on estimates are frozen while calls fail: nine seconds.
+///
+/// Estimates frozen after the first two seconds of a surge admitted too much for as long as it
+/// lasted.
+const FREEZE_MIN_SAMPLES_COUNT: f64 = 120.0;
+
+/// Longest time for which estimates stay frozen. Calls that fail for longer count as normal.
+const MAX_FREEZE_TIME: Duration = Duration::from_secs(30);
+
+/// Share of lost calls below which no correction for them is made.
+const MIN_LOST_RATIO: f64 = 0.02;
 
-/// Time for which what was learnt is kept like that. What fails for longer is taken
-/// for how things are.
-const KEPT_LONGEST: Duration = Duration::from_secs(30);
+/// Largest factor by which the calls of a run are corrected for lost ones.
+const MAX_CORRECTION_FACTOR: f64 = 2.5;
 
-/// Share of lost calls below which runs are taken to be whole.
-const LOST_LEAST_RATIO: f64 = 0.02;
+/// Largest share of lost calls, and of runs that lose one, that the correction uses: above it,
+/// little noise changes the result a lot.
+const MAX_LOST_RATIO: f64 = 0.85;
 
-/// The most by which a count of calls is made up for lost ones, and the share of runs that
-/// lose one up to which it is known: beyond, a little noise would be a great difference.
-const MADE_UP_MOST: f64 = 2.5;
-const LOST_MOST_RATIO: f64 = 0.85;
+/// Share of all runs that a route must have for a guess before there are enough samples.
+const GUESS_MIN_RATIO: f64 = 0.7;
 
-/// Share of all runs that one route must have before enough was seen, and runs of it that
-/// began. Those under way have not made all their calls: what they seem to make is too
-/// little, and tells where they lead.
-const FIRST_RATIO: f64 = 0.7;
-const FIRST_RUNS_LEAST_COUNT: u32 = 4;
+/// Runs of a route that must have started for such a guess. Runs in progress haven't made all
+/// their calls, so the guess is too low, but it names the routes that are called.
+const GUESS_MIN_RUNS_COUNT: u32 = 4;
 
-/// Column of the first route; before it stands the constant.
-const FIRST_ROUTE: usize = 1;
+/// Column of the first route; the column before it is the constant.
+const FIRST_ROUTE_COLUMN: usize = 1;
 
-/// Part of the squares that is added on the diagonal, so that routes whose runs go
-/// up and down together still give a solution.
+/// Ridge term: share of the squares that is added on the diagonal, so that the matrix can be
+/// inverted although the runs of several routes rise and fall together.
 const RIDGE_RATIO: f64 = 0.002;
 
-/// Routes that are told apart on each side. A service has a handful in use; the
+/// Most routes that are distinguished as callers, and as callees. A service uses a handful; the
 /// work grows with the square of this.
 const ROUTES_LIMIT_COUNT: usize = 12;
 
-/// Which calls the runs of each route make, as the node beside a backend server
-/// sees it.
+/// Which routes the runs of each route call, as estimated by the node on the host of a backend
+/// server. A run is one execution of a request at that server.
 ///
-/// No header ties a call that a backend server makes to the run that made it. What
-/// is seen is how many runs of each route were under way and how many calls there
-/// were in each of many short spans. The calls are fitted as a sum over the time
-/// spent in runs and a constant (linear least squares, faded with age); an estimate
-/// counts if it lies above zero by twice its own error. Calls a second of a run times
-/// how long runs take are calls a run.
+/// No header links a call that a backend server makes to the run that made it. The node knows
+/// how many runs of each route were in progress, and how many calls were made, in each of many
+/// short samples. It fits the calls as a linear function of the time spent in the runs of each
+/// route, plus a constant, by least squares that weight samples by age. An estimate counts if it
+/// exceeds zero by `MIN_STANDARD_ERRORS`. Calls per second of run time, times the mean run
+/// time, are the calls per run.
 ///
-/// The constant is there for loads under which runs make fewer calls than usual:
-/// without it, a route whose runs are few and even would be credited with what
-/// keeps the calls from being proportional to the other runs.
+/// The constant is needed for loads under which runs make fewer calls than usual: without it, a
+/// route with few, evenly spread runs would be credited with the difference.
 #[derive(Debug, Default)]
 pub struct CallGraph {
-    span_began: Option<Duration>,
-    /// Routes that the backend server runs, in the order of first sight.
+    sample_started: Option<Duration>,
+    /// Routes that the backend server runs, in the order in which they were first seen.
     runs: Vec<RouteRuns>,
-    /// Calls on each route that backend servers call.
+    /// Calls that the backend server makes, by the route that is called.
     calls: BTreeMap<String, Calls>,
-    /// Sums of products of the times spent in runs of two routes.
+    /// Sums of products of the times spent in the runs of two routes.
     squares: Vec<Vec<f64>>,
-    spans_count: f64,
-    /// Calls in this span that failed.
+    /// Samples, weighted by age.
+    samples_count: f64,
+    /// Failed calls in the current sample.
     failed_count: u32,
-    /// Share of the calls of the last spans that failed.
+    /// Moving average of the share of calls that failed.
     failed_ratio: f64,
-    /// Since when nothing is learnt.
-    kept_since: Option<Duration>,
+    /// Since when samples are ignored because calls fail.
+    frozen_since: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct RouteRuns {
     route: String,
-    under_way_count: u32,
-    /// When the time below was counted last.
-    counted: Duration,
-    /// Time spent in runs in this span.
-    span_s: f64,
-    /// Time spent in runs, and runs that ended; faded like the spans.
-    running_s: f64,
+    in_progress_count: u32,
+    /// Until when `sample_run_s` is counted.
+    counted_until: Duration,
+    /// Time spent in runs in the current sample.
+    sample_run_s: f64,
+    /// Time spent in runs, weighted by age.
+    run_s: f64,
+    /// Runs that ended, weighted by age.
     ended_count: f64,
-    /// Runs that ended in this span.
-    span_ended_count: f64,
-    /// Those of all spans, until enough was seen.
-    all_count: u32,
+    /// Runs that ended in the current sample.
+    sample_ended_count: f64,
+    /// Runs that started, in total; used until there are enough samples.
+    started_count: u32,
 }
 
 #[derive(Debug, Default)]
 struct Calls {
-    count: u32,
-    /// Those of all spans, until enough was seen.
-    all_count: u32,
-    /// Sums of products with the times spent in runs of each route.
+    /// Calls in the current sample.
+    sample_count: u32,
+    /// Calls in total; used until there are enough samples.
+    total_count: u32,
+    /// Sums of products with the times spent in the runs of each route.
     products: Vec<f64>,
+    /// Sum of the squares of the calls in each sample.
     square: f64,
-    /// Calls that failed in this span.
-    failed_count: u32,
-    /// Calls, and those that failed, of the last spans; faded like them.
+    /// Failed calls in the current sample.
+    sample_failed_count: u32,
+    /// Calls, weighted by age.
     sum: f64,
+    /// Failed calls, weighted by age.
     failed_sum: f64,
 }
 
-/// How often one run of a route makes a call on another.
+/// Calls that the runs of one route make on another route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallEdge {
-    /// The other route.
+    /// The route that is called.
     pub callee: String,
-    /// Calls in one run, on the mean.
+    /// Mean number of calls in one run.
     pub calls_per_run: f64,
 }
 
 impl CallGraph {
-    /// A run of a route began at the backend server.
+    /// A run of a route started at the backend server.
     pub fn run_started(&mut self, now: Duration, route: &str) {
-        self.close_span(now);
+        self.close_sample(now);
         let known = self.runs.iter().position(|runs| runs.route == route);
-        let place = match known {
-            Some(place) => place,
+        let index = match known {
+            Some(index) => index,
             None if self.runs.len() < ROUTES_LIMIT_COUNT => {
                 self.runs.push(RouteRuns::new(route, now));
                 self.runs.len() - 1
             }
             None => return,
         };
-        let runs = &mut self.runs[place];
+        let runs = &mut self.runs[index];
         runs.count_until(now);
-        runs.under_way_count += 1;
-        runs.all_count = runs.all_count.saturating_add(1);
+        runs.in_progress_count += 1;
+        runs.started_count = runs.started_count.saturating_add(1);
     }
 
     /// A run of a route ended.
     pub fn run_ended(&mut self, now: Duration, route: &str) {
-        self.close_span(now);
+        self.close_sample(now);
         if let Some(runs) = self.runs.iter_mut().find(|runs| runs.route == route) {
             runs.count_until(now);
-            runs.under_way_count = runs.under_way_count.saturating_sub(1);
-            runs.span_ended_count += 1.0;
+            runs.in_progress_count = runs.in_progress_count.saturating_sub(1);
+            runs.sample_ended_count += 1.0;
         }
     }
 
     /// The backend server made a call on a route.
     pub fn call_started(&mut self, now: Duration, callee: &str) {
-        self.close_span(now);
+        self.close_sample(now);
         if let Some(calls) = self.calls.get_mut(callee) {
-            calls.count += 1;
-            calls.all_count = calls.all_count.saturating_add(1);
+            calls.sample_count += 1;
+            calls.total_count = calls.total_count.saturating_add(1);
         } else if self.calls.len() < ROUTES_LIMIT_COUNT {
             let calls = Calls {
-                count: 1,
-                all_count: 1,
+                sample_count: 1,
+                total_count: 1,
                 ..Calls::default()
             };
             self.calls.insert(String::from(callee), calls);
         }
     }
 
-    /// A call that the backend server made on a route failed, or was refused.
+    /// A call that the backend server made on a route failed or was refused.
     pub fn call_failed(&mut self, now: Duration, callee: &str) {
-        self.close_span(now);
+        self.close_sample(now);
         self.failed_count += 1;
         if let Some(calls) = self.calls.get_mut(callee) {
-            calls.failed_count += 1;
+            calls.sample_failed_count += 1;
         }
     }
 
@@ -198,144 +208,150 @@
         self.calls.keys().map(String::as_str)
     }
 
-    /// Whether enough was seen to say anything.
+    /// Whether there are enough samples for a fit.
     pub fn is_settled(&self) -> bool {
-        self.spans_count >= SPANS_LEAST_COUNT
+        self.samples_count >= MIN_SAMPLES_COUNT
     }
 
-    /// What one run of a route calls.
+    /// The calls that one run of a route makes.
     pub fn edges(&self, route: &str) -> Vec<CallEdge> {
-        let place = self.runs.iter().position(|runs| runs.route == route);
+        let index = self.runs.iter().position(|runs| runs.route == route);
         if !self.is_settled() {
-            return self.first_edges(route);
+            return self.guessed_edges(route);
         }
-        let place = place.map(|place| place + FIRST_ROUTE);
-        let Some(place) = place else {
+        let column = index.map(|index| index + FIRST_ROUTE_COLUMN);
+        let Some(column) = column else {
             return Vec::new();
         };
-        let Some(inverse) = inverse_of(&self.ridged()) else {
+        let Some(inverse) = invert(&self.ridged()) else {
             return Vec::new();
         };
-        let rows = self.calls.iter().map(|(callee, calls)| CallEdge {
+        let edges = self.calls.iter().map(|(callee, calls)| CallEdge {
             callee: callee.clone(),
-            calls_per_run: self.estimate(calls, &inverse, place),
+            calls_per_run: self.estimate(calls, &inverse, column),
         });
-        rows.filter(|row| row.calls_per_run >= CALLS_LEAST_COUNT)
+        edges
+            .filter(|edge| edge.calls_per_run >= MIN_CALLS_PER_RUN)
             .collect()
     }
 
-    /// What is said before enough was seen: where nearly all runs are of one route,
-    /// the calls are taken to be its own. A surge may come with the very first
-    /// requests, and until something is known all of them are let in.
-    fn first_edges(&self, route: &str) -> Vec<CallEdge> {
-        let all_count: u32 = self.runs.iter().map(|runs| runs.all_count).sum();
+    /// A guess for the time before there are enough samples: if most runs are of this route, all
+    /// calls are attributed to it. A surge may come with the very first requests, all of which
+    /// are admitted until something is known.
+    fn guessed_edges(&self, route: &str) -> Vec<CallEdge> {
+        let total_count: u32 = self.runs.iter().map(|runs| runs.started_count).sum();
         let runs = self.runs.iter().find(|runs| runs.route == route);
-        let Some(runs) = runs.filter(|runs| runs.all_count >= FIRST_RUNS_LEAST_COUNT) else {
+        let Some(runs) = runs.filter(|runs| runs.started_count >= GUESS_MIN_RUNS_COUNT) else {
             return Vec::new();
         };
-        if f64::from(runs.all_count) < FIRST_RATIO * f64::from(all_count) {
+        if f64::from(runs.started_count) < GUESS_MIN_RATIO * f64::from(total_count) {
             return Vec::new();
         }
-        let runs_count = f64::from(runs.all_count);
-        let rows = self.calls.iter().map(|(callee, calls)| CallEdge {
+        let runs_count = f64::from(runs.started_count);
+        let edges = self.calls.iter().map(|(callee, calls)| CallEdge {
             callee: callee.clone(),
-            calls_per_run: f64::from(calls.all_count) / runs_count,
+            calls_per_run: f64::from(calls.total_count) / runs_count,
         });
-        rows.filter(|row| row.calls_per_run >= CALLS_LEAST_COUNT)
+        edges
+            .filter(|edge| edge.calls_per_run >= MIN_CALLS_PER_RUN)
             .collect()
     }
 
-    /// Calls that a run makes, where that is surely above zero.
-    fn estimate(&self, calls: &Calls, inverse: &[Vec<f64>], place: usize) -> f64 {
+    /// Calls per run by the fit; 0 unless that is significantly above zero.
+    fn estimate(&self, calls: &Calls, inverse: &[Vec<f64>], column: usize) -> f64 {
         let products = self.padded(&calls.products);
         let fitted: Vec<f64> = inverse.iter().map(|row| dot(row, &products)).collect();
-        let left = (calls.square - dot(&fitted, &products)).max(0.0);
-        let free_count = (self.spans_count - self.columns_count() as f64).max(1.0);
-        let error = (left / free_count * inverse[place][place]).max(0.0).sqrt();
-        if fitted[place] <= CAUTION * error {
+        let residual = (calls.square - dot(&fitted, &products)).max(0.0);
+        let degrees_of_freedom = (self.samples_count - self.columns_count() as f64).max(1.0);
+        let error = (residual / degrees_of_freedom * inverse[column][column])
+            .max(0.0)
+            .sqrt();
+        if fitted[column] <= MIN_STANDARD_ERRORS * error {
             return 0.0;
         }
-        let runs = &self.runs[place - FIRST_ROUTE];
-        let run_s = runs.running_s / runs.ended_count.max(1.0);
-        calls.made_up(fitted[place] * run_s)
+        let runs = &self.runs[column - FIRST_ROUTE_COLUMN];
+        let run_s = runs.run_s / runs.ended_count.max(1.0);
+        calls.corrected_for_losses(fitted[column] * run_s)
     }
 
-    fn close_span(&mut self, now: Duration) {
-        let began = *self.span_began.get_or_insert(now);
-        if now < began + SPAN {
+    fn close_sample(&mut self, now: Duration) {
+        let started = *self.sample_started.get_or_insert(now);
+        if now < started + SAMPLE_INTERVAL {
             return;
         }
-        self.span_began = Some(now);
+        self.sample_started = Some(now);
         for runs in &mut self.runs {
             runs.count_until(now);
         }
-        // After a pause the span is long; as one observation it would outweigh all.
-        let span_s = now.saturating_sub(began).as_secs_f64();
-        let is_regular = span_s <= 4.0 * SPAN.as_secs_f64();
-        let is_failing = self.is_failing(now);
-        self.add_span(span_s, is_regular && !is_failing);
+        // A sample that is long because of a pause would outweigh all others.
+        let sample_s = now.saturating_sub(started).as_secs_f64();
+        let is_regular = sample_s <= 4.0 * SAMPLE_INTERVAL.as_secs_f64();
+        let is_frozen = self.is_frozen(now);
+        self.add_sample(sample_s, is_regular && !is_frozen);
     }
 
-    /// Whether so many calls fail that this span is left out.
-    fn is_failing(&mut self, now: Duration) -> bool {
-        let calls_count: u32 = self.calls.values().map(|calls| calls.count).sum();
+    /// Whether so many calls fail that this sample is left out.
+    fn is_frozen(&mut self, now: Duration) -> bool {
+        let calls_count: u32 = self.calls.values().map(|calls| calls.sample_count).sum();
         let failed_count = std::mem::take(&mut self.failed_count);
         if calls_count > 0 {
             let observed = f64::from(failed_count) / f64::from(calls_count);
             self.failed_ratio += FAILED_WEIGHT * (observed.min(1.0) - self.failed_ratio);
         }
-        if self.failed_ratio < FAILED_RATIO || self.spans_count < KEPT_SPANS_COUNT {
-            self.kept_since = None;
+        if self.failed_ratio < MAX_FAILED_RATIO || self.samples_count < FREEZE_MIN_SAMPLES_COUNT {
+            self.frozen_since = None;
             return false;
         }
-        let since = *self.kept_since.get_or_insert(now);
-        now < since + KEPT_LONGEST
+        let since = *self.frozen_since.get_or_insert(now);
+        now < since + MAX_FREEZE_TIME
     }
 
-    fn add_span(&mut self, span_s: f64, is_regular: bool) {
+    /// Adds the current sample to the sums if it `is_used`, and starts the next one.
+    fn add_sample(&mut self, sample_s: f64, is_used: bool) {
         let runs = self.runs.iter_mut();
-        let runs: Vec<f64> = runs.map(|runs| runs.close_span(is_regular)).collect();
-        if !is_regular {
+        let runs: Vec<f64> = runs.map(|runs| runs.close_sample(is_used)).collect();
+        if !is_used {
             for calls in self.calls.values_mut() {
-                calls.count = 0;
-                calls.failed_count = 0;
+                calls.sample_count = 0;
+                calls.sample_failed_count = 0;
             }
             return;
         }
-        let runs: Vec<f64> = [span_s].into_iter().chain(runs).collect();
-        self.spans_count = self.spans_count * FADE_RATIO + 1.0;
+        let runs: Vec<f64> = [sample_s].into_iter().chain(runs).collect();
+        self.samples_count = self.samples_count * DECAY_RATIO + 1.0;
         self.squares.resize(runs.len(), Vec::new());
         for (row, squares) in self.squares.iter_mut().enumerate() {
             squares.resize(runs.len(), 0.0);
             for (column, square) in squares.iter_mut().enumerate() {
-                *square = *square * FADE_RATIO + runs[row] * runs[column];
+                *square = *square * DECAY_RATIO + runs[row] * runs[column];
             }
         }
         for calls in self.calls.values_mut() {
-            let count = f64::from(std::mem::take(&mut calls.count));
+            let count = f64::from(std::mem::take(&mut calls.sample_count));
             calls.products.resize(runs.len(), 0.0);
             for (product, run) in calls.products.iter_mut().zip(&runs) {
-                *product = *product * FADE_RATIO + run * count;
+                *product = *product * DECAY_RATIO + run * count;
             }
-            calls.square = calls.square * FADE_RATIO + count * count;
-            let failed_count = f64::from(std::mem::take(&mut calls.failed_count));
-            calls.sum = calls.sum * FADE_RATIO + count;
-            calls.failed_sum = calls.failed_sum * FADE_RATIO + failed_count;
+            calls.square = calls.square * DECAY_RATIO + count * count;
+            let failed_count = f64::from(std::mem::take(&mut calls.sample_failed_count));
+            calls.sum = calls.sum * DECAY_RATIO + count;
+            calls.failed_sum = calls.failed_sum * DECAY_RATIO + failed_count;
         }
     }
 
-    /// The squares, with a little more on the diagonal.
+    /// The matrix of the fit: the squares with the ridge term on the diagonal.
     fn ridged(&self) -> Vec<Vec<f64>> {
-        let routes_count = self.columns_count();
+        let columns_count = self.columns_count();
         let mut matrix: Vec<Vec<f64>> = self.squares.iter().map(|row| self.padded(row)).collect();
-        matrix.resize(routes_count, vec![0.0; routes_count]);
-        let trace: f64 = (0..routes_count).map(|place| matrix[place][place]).sum();
-        for (place, row) in matrix.iter_mut().enumerate() {
-            row[place] += RIDGE_RATIO * row[place] + 1e-9 * trace.max(1e-3);
+        matrix.resize(columns_count, vec![0.0; columns_count]);
+        let trace: f64 = (0..columns_count).map(|index| matrix[index][index]).sum();
+        for (index, row) in matrix.iter_mut().enumerate() {
+            row[index] += RIDGE_RATIO * row[index] + 1e-9 * trace.max(1e-3);
         }
         matrix
     }
 
+    /// A row of sums, with zeros for routes that were first seen after its last sample.
     fn padded(&self, row: &[f64]) -> Vec<f64> {
         let mut row = row.to_vec();
         row.resize(self.columns_count(), 0.0);
@@ -344,24 +360,24 @@
 
     /// Columns of the fit: the constant and the routes.
     fn columns_count(&self) -> usize {
-        FIRST_ROUTE + self.runs.len()
+        FIRST_ROUTE_COLUMN + self.runs.len()
     }
 }
 
 impl Calls {
-    /// Calls that a run would make if none were lost, from those that it makes.
+    /// Calls that a run would make if none were lost, given the calls that it makes.
     ///
-    /// A run ends with its first lost call. With a share of `lost` calls, a run of `n` calls,
-    /// one after the other, makes `(1 - (1 - lost)^n) / lost` of them; this is solved for
-    /// `n`.
-    fn made_up(&self, calls_count: f64) -> f64 {
+    /// A run ends with its first lost call. If a share `lost` of all calls is lost, a run of `n`
+    /// sequential calls makes `(1 - (1 - lost)^n) / lost` of them; this is solved for `n`.
+    fn corrected_for_losses(&self, calls_count: f64) -> f64 {
         let lost_ratio = self.failed_sum / self.sum.max(1.0);
-        if lost_ratio < LOST_LEAST_RATIO {
+        if lost_ratio < MIN_LOST_RATIO {
             return calls_count;
         }
-        let runs_lost = (lost_ratio * calls_count).min(LOST_MOST_RATIO);
-        let whole = (1.0 - runs_lost).ln() / (1.0 - lost_ratio.min(LOST_MOST_RATIO)).ln();
-        whole.clamp(calls_count, calls_count * MADE_UP_MOST)
+        let lost_runs_ratio = (lost_ratio * calls_count).min(MAX_LOST_RATIO);
+        let complete_count =
+            (1.0 - lost_runs_ratio).ln() / (1.0 - lost_ratio.min(MAX_LOST_RATIO)).ln();
+        complete_count.clamp(calls_count, calls_count * MAX_CORRECTION_FACTOR)
     }
 }
 
@@ -369,31 +385,32 @@
     fn new(route: &str, now: Duration) -> Self {
         Self {
             route: String::from(route),
-            under_way_count: 0,
-            counted: now,
-            span_s: 0.0,
-            running_s: 0.0,
+            in_progress_count: 0,
+            counted_until: now,
+            sample_run_s: 0.0,
+            run_s: 0.0,
             ended_count: 0.0,
-            span_ended_count: 0.0,
-            all_count: 0,
+            sample_ended_count: 0.0,
+            started_count: 0,
         }
     }
 
     fn count_until(&mut self, now: Duration) {
-        let passed_s = now.saturating_sub(self.counted).as_secs_f64();
-        self.span_s += passed_s * f64::from(self.under_way_count);
-        self.counted = now;
+        let elapsed_s = now.saturating_sub(self.counted_until).as_secs_f64();
+        self.sample_run_s += elapsed_s * f64::from(self.in_progress_count);
+        self.counted_until = now;
     }
 
-    /// Time spent in runs in the span that ends; it counts if the span `is_regular`.
-    fn close_span(&mut self, is_regular: bool) -> f64 {
-        let span_s = std::mem::take(&mut self.span_s);
-        let ended_count = std::mem::take(&mut self.span_ended_count);
-        if is_regular {
-            self.running_s = self.running_s * FADE_RATIO + span_s;
-            self.ended_count = self.ended_count * FADE_RATIO + ended_count;
+    /// Ends the sample and returns the time spent in runs in it; the sums include it if it
+    /// `is_used`.
+    fn close_sample(&mut self, is_used: bool) -> f64 {
+        let run_s = std::mem::take(&mut self.sample_run_s);
+        let ended_count = std::mem::take(&mut self.sample_ended_count);
+        if is_used {
+            self.run_s = self.run_s * DECAY_RATIO + run_s;
+            self.ended_count = self.ended_count * DECAY_RATIO + ended_count;
         }
-        span_s
+        run_s
     }
 }
 
@@ -401,15 +418,14 @@
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
 
-/// The inverse of a symmetric matrix, by Gauss-Jordan elimination; `None` if it has
-/// none.
-fn inverse_of(matrix: &[Vec<f64>]) -> Option<Vec<Vec<f64>>> {
+/// Inverts a symmetric matrix by Gauss-Jordan elimination; `None` if it is singular.
+fn invert(matrix: &[Vec<f64>]) -> Option<Vec<Vec<f64>>> {
     let size = matrix.len();
     let mut rows: Vec<Vec<f64>> = matrix
         .iter()
         .enumerate()
-        .map(|(place, row)| {
-            let unit = (0..size).map(|column| f64::from(u8::from(column == place)));
+        .map(|(index, row)| {
+            let unit = (0..size).map(|column| f64::from(u8::from(column == index)));
             row.iter().copied().chain(unit).collect()
         })
         .collect();
@@ -422,8 +438,8 @@
             *value /= scale;
         }
         let pivot_row = rows[pivot].clone();
-        for (place, row) in rows.iter_mut().enumerate() {
-            if place == pivot {
+        for (index, row) in rows.iter_mut().enumerate() {
+            if index == pivot {
                 continue;
             }
             let factor = row[pivot];
--- a/crates/kumquatquay-core/src/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/src/routed/call_tracer.rs
@@ -1,4 +1,4 @@
-//! Learns which calls a run makes from the deadlines that calls share with their runs.
+//! Finds the run that made a call by the deadline that they share.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -9,69 +9,72 @@
 
 use super::CallEdge;
 
-/// How far a call's deadline may lie from that of its run. Both are told in whole
-/// milliseconds and counted from the moment at which they are read, on one host.
-const TOLERANCE: Duration = Duration::from_millis(2);
+/// Largest difference between the deadlines of a call and its run. Both are sent as whole
+/// milliseconds that remain and are added to the time at which they are read, on the same host.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(2);
 
-/// Runs that ended well from which on their mean is told. A run's count of calls varies
-/// little; what is left of the error with eight is the odd call that was put to another run.
-const RUNS_LEAST_COUNT: u32 = 8;
+/// Successful runs of a route from which on their mean counts. The number of calls of a run
+/// varies little; the error that remains with eight runs is an occasional call that was
+/// attributed to the wrong run.
+const MIN_RUNS_COUNT: u32 = 8;
 
-/// Share of calls that must lie at the deadline of some run. Below it deadlines say nothing
-/// of who made a call, and what still matches does so by chance.
-const MATCHED_LEAST_RATIO: f64 = 0.5;
+/// Share of calls that must match the deadline of a run. Below it, deadlines don't identify the
+/// runs, and the calls that still match do so by chance.
+const MIN_MATCHED_RATIO: f64 = 0.5;
 
-/// Calls to one route from which on that share is judged.
-const CALLS_LEAST_COUNT: f64 = 20.0;
+/// Calls on a route from which on that share is meaningful.
+const MIN_CALLS_COUNT: f64 = 20.0;
 
-/// Weight of the newest run, or call, against those before.
+/// Weight of the newest run, or call, in a moving average.
 const NEW_WEIGHT: f64 = 0.02;
 
-/// Calls a run below which a route isn't said to lead there.
-const ROW_LEAST_COUNT: f64 = 0.2;
+/// Calls per run below which an edge is left out.
+const MIN_CALLS_PER_RUN: f64 = 0.2;
 
-/// Time after which a route of which no run ended well is not known any more.
-const LAPSE: Duration = Duration::from_secs(30);
+/// Time after its last successful run from which on nothing is known of a route.
+const EXPIRY: Duration = Duration::from_secs(30);
 
-/// Routes, and callees of each, that are told apart.
+/// Most routes, and most callees of each route, that are distinguished.
 const ROUTES_LIMIT_COUNT: usize = 64;
 
-/// One run at the backend server.
+/// Identifies a run: one execution of a request at the backend server of this host.
 pub type RunId = u64;
 
-/// Which calls the runs of each route make, run by run.
+/// Counts the calls that each run makes, by route.
 ///
-/// A backend server's calls expire when the run does that makes them, and this node has told
-/// the run its deadline. So the run whose deadline a call shares has most likely made it.
-/// Only runs that ended well are counted: one that lost a call ends without its others, and in
-/// an overload, when it matters most, nearly all do. Fitted to all calls, as
-/// [`CallGraph`](super::CallGraph) does it, searches that make ten calls at the deepest service
-/// were taken to make none or three, and uploads that make none to make eleven.
+/// The calls of a backend server expire together with the run that makes them, and this node
+/// has sent the run its deadline. So a call was most likely made by the run with the same
+/// deadline. Only successful runs are counted: a run that loses a call ends without making the
+/// others, which happens to nearly all runs in an overload, when the result matters most. The
+/// fit of [`CallGraph`](super::CallGraph) to all calls gave none or three calls for searches
+/// that make ten at the deepest service, and eleven for uploads that make none.
 ///
-/// A call whose own time is shorter than that of its run lies at no deadline. Where those are
-/// the minority the others stand for them; elsewhere nothing is known, and the fit counts.
+/// A call with a shorter timeout than its run matches no deadline. If such calls are a minority,
+/// the counts of the others are scaled up; otherwise nothing is known of the route that they
+/// call, and the fit is used.
 #[derive(Debug, Default)]
 pub struct CallTracer {
-    last_number: RunId,
-    under_way: HashMap<RunId, Run>,
+    last_id: RunId,
+    in_progress: HashMap<RunId, Run>,
     by_deadline: BTreeMap<(Duration, RunId), ()>,
+    /// Successful runs by route.
     routes: HashMap<String, RouteRuns>,
-    /// By the route that is called.
+    /// Calls by the route that is called.
     callees: HashMap<String, Callee>,
 }
 
 #[derive(Debug)]
 struct Run {
     route: String,
-    whole_priority: Priority,
+    request_priority: Priority,
     deadline: Duration,
     calls: HashMap<String, u32>,
 }
 
 #[derive(Debug, Default)]
 struct RouteRuns {
-    ended_well_count: u32,
-    last_ended_well: Duration,
+    successful_count: u32,
+    last_success: Duration,
     /// Mean calls of a run, by the route that is called.
     calls: BTreeMap<String, f64>,
 }
@@ -83,32 +86,34 @@
 }
 
 impl CallTracer {
-    /// A run of a route begins for a whole request of this rank, and was told this deadline.
+    /// A run of a route starts, as part of a root request of this priority; it has been sent this
+    /// deadline.
     pub fn run_started(
         &mut self,
         route: &str,
-        whole_priority: Priority,
+        request_priority: Priority,
         deadline: Duration,
     ) -> RunId {
-        self.last_number += 1;
-        let number = self.last_number;
-        self.by_deadline.insert((deadline, number), ());
+        self.last_id += 1;
+        let id = self.last_id;
+        self.by_deadline.insert((deadline, id), ());
         let run = Run {
             route: String::from(route),
-            whole_priority,
+            request_priority,
             deadline,
             calls: HashMap::new(),
         };
-        self.under_way.insert(number, run);
-        number
+        self.in_progress.insert(id, run);
+        id
     }
 
-    /// The backend server makes a call on a route, with this deadline; the rank of the whole
-    /// request that it belongs to, if its run is found.
+    /// The backend server makes a call on a route, with this deadline.
+    ///
+    /// Returns the priority of the root request that the call belongs to, if its run is found.
     pub fn call_started(&mut self, callee: &str, deadline: Duration) -> Option<Priority> {
-        let run = self.run_at(deadline);
+        let run = self.run_with_deadline(deadline);
         self.count_call(callee, run);
-        run.map(|run| self.under_way[&run].whole_priority)
+        run.map(|run| self.in_progress[&run].request_priority)
     }
 
     fn count_call(&mut self, callee: &str, run: Option<RunId>) {
@@ -120,72 +125,74 @@
         let weight = NEW_WEIGHT.max(1.0 / known.calls_count);
         let matched = f64::from(u8::from(run.is_some()));
         known.matched_ratio += weight * (matched - known.matched_ratio);
-        if let Some(run) = run.and_then(|number| self.under_way.get_mut(&number)) {
+        if let Some(run) = run.and_then(|id| self.in_progress.get_mut(&id)) {
             *run.calls.entry(String::from(callee)).or_default() += 1;
         }
     }
 
-    /// A run ended; `is_well` if it did all that it was asked for.
-    pub fn run_ended(&mut self, now: Duration, number: RunId, is_well: bool) {
-        let Some(run) = self.under_way.remove(&number) else {
+    /// A run ended, successfully or not. Only a run that did everything it was asked for is
+    /// successful.
+    pub fn run_ended(&mut self, now: Duration, id: RunId, is_successful: bool) {
+        let Some(run) = self.in_progress.remove(&id) else {
             return;
         };
-        self.by_deadline.remove(&(run.deadline, number));
+        self.by_deadline.remove(&(run.deadline, id));
         let is_new = !self.routes.contains_key(&run.route);
-        if !is_well || (is_new && self.routes.len() >= ROUTES_LIMIT_COUNT) {
+        if !is_successful || (is_new && self.routes.len() >= ROUTES_LIMIT_COUNT) {
             return;
         }
         let known = self.routes.entry(run.route).or_default();
         known.count(now, &run.calls);
     }
 
-    /// What one run of a route calls, of the routes that are [traceable](Self::is_traceable); `None` if
+    /// The calls that one run of a route makes on [traceable](Self::is_traceable) routes; `None` if
     /// that isn't known.
     pub fn edges(&self, now: Duration, route: &str) -> Option<Vec<CallEdge>> {
         let known = self.routes.get(route)?;
-        let is_fresh = now < known.last_ended_well + LAPSE;
-        if known.ended_well_count < RUNS_LEAST_COUNT || !is_fresh {
+        let is_fresh = now < known.last_success + EXPIRY;
+        if known.successful_count < MIN_RUNS_COUNT || !is_fresh {
             return None;
         }
-        let told = known
+        let traceable = known
             .calls
             .iter()
             .filter(|(callee, _)| self.is_traceable(callee));
-        let rows = told.map(|(callee, calls_count)| CallEdge {
+        let edges = traceable.map(|(callee, calls_count)| CallEdge {
             callee: callee.clone(),
-            // Calls whose own time is shorter than that of their run lie at no deadline.
+            // Scaled up for calls with a shorter timeout than their run, which match no deadline.
             calls_per_run: calls_count / self.callees[callee].matched_ratio,
         });
         Some(
-            rows.filter(|row| row.calls_per_run >= ROW_LEAST_COUNT)
+            edges
+                .filter(|edge| edge.calls_per_run >= MIN_CALLS_PER_RUN)
                 .collect(),
         )
     }
 
-    /// Whether the deadlines of calls on a route tell which runs made them.
+    /// Whether the deadlines of calls on a route identify the runs that made them.
     pub fn is_traceable(&self, callee: &str) -> bool {
         self.callees.get(callee).is_some_and(|callee| {
-            callee.calls_count >= CALLS_LEAST_COUNT && callee.matched_ratio >= MATCHED_LEAST_RATIO
+            callee.calls_count >= MIN_CALLS_COUNT && callee.matched_ratio >= MIN_MATCHED_RATIO
         })
     }
 
-    /// The run whose deadline lies nearest to this one.
-    fn run_at(&self, deadline: Duration) -> Option<RunId> {
-        let from = deadline.saturating_sub(TOLERANCE);
+    /// The run whose deadline is closest to this one, within the tolerance.
+    fn run_with_deadline(&self, deadline: Duration) -> Option<RunId> {
+        let from = deadline.saturating_sub(DEADLINE_TOLERANCE);
         let near = self
             .by_deadline
-            .range((from, 0)..=(deadline + TOLERANCE, RunId::MAX));
+            .range((from, 0)..=(deadline + DEADLINE_TOLERANCE, RunId::MAX));
         let nearest = near.min_by_key(|((known, _), ())| known.abs_diff(deadline));
-        nearest.map(|((_, number), ())| *number)
+        nearest.map(|((_, id), ())| *id)
     }
 }
 
 impl RouteRuns {
     fn count(&mut self, now: Duration, calls: &HashMap<String, u32>) {
-        self.last_ended_well = now;
-        self.ended_well_count = self.ended_well_count.saturating_add(1);
-        // The mean of those that there are, until there are enough.
-        let weight = NEW_WEIGHT.max(1.0 / f64::from(self.ended_well_count));
+        self.last_success = now;
+        self.successful_count = self.successful_count.saturating_add(1);
+        // A plain mean until there are enough runs for the moving average.
+        let weight = NEW_WEIGHT.max(1.0 / f64::from(self.successful_count));
         for mean in self.calls.values_mut() {
             *mean -= weight * *mean;
         }
--- a/crates/kumquatquay-core/src/routed/era_tracker.rs
+++ b/crates/kumquatquay-core/src/routed/era_tracker.rs
@@ -1,71 +1,71 @@
-//! Which era the store is in, as far as a node knows.
+//! Tracks the era of the store, as a node knows it.
 
 use std::time::Duration;
 
 use kumquatquay_wire::routed::StoreEra;
 
-/// Time after the store's return from a copy in which operators write again what it lost. A read
-/// that begins in it may miss what was confirmed before.
+/// Time after a restore of the store from a backup within which operators write again what it
+/// lost. A read that starts within it may miss what was confirmed before.
 pub(super) const REWRITE_TIME: Duration = Duration::from_secs(1);
 
-/// Eras by which another node may be ahead. A store comes back from a copy now and then; a broken
-/// node that tells of a far era would else drown the true ones for good.
+/// Eras by which another node may be ahead. A store is restored now and then; without the limit, a
+/// broken node that reports a far higher era would hide the real ones for good.
 const AHEAD_LIMIT_COUNT: StoreEra = 1_000;
 
-/// The eras of a store that may come back from an older copy.
+/// Eras of a store that may be restored from an older backup.
 ///
-/// What the store acknowledged lately is gone then, and offsets are given out again: the number
-/// 121 of one era says nothing of the number 121 of the next. So all that a node knows of the
-/// store belongs to an era, and a higher one, in any answer or told by another node, starts it
-/// anew. What is in force stays in force.
+/// A restore loses what the store acknowledged lately, and the store assigns offsets a second time:
+/// offset 121 of one era is unrelated to offset 121 of the next. So everything that a node knows of
+/// the store belongs to an era, and a higher era, in any answer of the store or reported by another
+/// node, invalidates it. A configuration in force stays in force.
 ///
-/// A store that tells no era costs nothing: all its answers count. One that begins to tell it may
-/// do so since it came back.
+/// All answers of a store that sends no era count. If a store starts to send one, it may have been
+/// restored.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EraTracker {
-    known: Option<StoreEra>,
-    /// Whether the store answered without an era, before it told any.
+    highest: Option<StoreEra>,
+    /// Whether the store answered without an era before it sent one.
     has_answer_without_era: bool,
 }
 
-/// What an era says of the store.
+/// What an observed era says about the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraChange {
-    /// Nothing new; the one of an answer that came late is no higher either.
+    /// Nothing new: the era is unchanged, or lower because the answer came late.
     None,
-    /// It is the first one that is known.
+    /// It is the first known era.
     First,
-    /// The store has come back from a copy since.
+    /// The store has been restored from a backup.
     Restored {
-        /// The highest one that was known before; `None` if the store told none.
+        /// Highest era known before; `None` if the store sent none.
         previous: Option<StoreEra>,
     },
-    /// It is too far ahead to be true.
+    /// The era is too far ahead to be real.
     Implausible,
 }
 
 impl EraTracker {
-    /// The highest one that is known.
+    /// Highest known era.
     pub fn highest(&self) -> Option<StoreEra> {
-        self.known
+        self.highest
     }
 
-    /// Whether an answer that tells this is of an era that is over.
+    /// Whether an answer with this era is from an era that is over.
     pub fn is_past(&self, era: Option<StoreEra>) -> bool {
-        era.is_some() && era < self.known
+        era.is_some() && era < self.highest
     }
 
-    /// An answer of the store told it, or none.
+    /// An answer of the store had this era, or none.
     pub fn observe(&mut self, era: Option<StoreEra>) -> EraChange {
         let Some(era) = era else {
-            self.has_answer_without_era |= self.known.is_none();
+            self.has_answer_without_era |= self.highest.is_none();
             return EraChange::None;
         };
-        let previous = self.known;
+        let previous = self.highest;
         if previous.is_some_and(|previous| era <= previous) {
             return EraChange::None;
         }
-        self.known = Some(era);
+        self.highest = Some(era);
         if previous.is_some() || self.has_answer_without_era {
             EraChange::Restored { previous }
         } else {
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Another node, which knows of answers of the store, told it, or knows none.
+    /// Another node that knows of answers of the store reported this era, or none.
     pub fn observe_from_peer(&mut self, era: Option<StoreEra>) -> EraChange {
-        let most = self
-            .known
-            .map(|known| known.saturating_add(AHEAD_LIMIT_COUNT));
-        match (era, most) {
-            (Some(era), Some(most)) if era > most => EraChange::Implausible,
+        let limit = self
+            .highest
+            .map(|highest| highest.saturating_add(AHEAD_LIMIT_COUNT));
+        match (era, limit) {
+            (Some(era), Some(limit)) if era > limit => EraChange::Implausible,
             _ => self.observe(era),
         }
     }
--- a/crates/kumquatquay-core/src/routed/freshness_proof.rs
+++ b/crates/kumquatquay-core/src/routed/freshness_proof.rs
@@ -1,4 +1,4 @@
-//! Until when the configuration in force is known to have been the newest.
+//! Tracks until when the configuration in force is proved to have been the newest.
 
 use std::time::Duration;
 
@@ -6,79 +6,79 @@
 
 use super::era_tracker::REWRITE_TIME;
 
-/// Proof that a configuration was the newest at some moment.
+/// Proof that the configuration in force was the newest at some moment.
 ///
-/// A key that was taken away must not be accepted for long, also by a node that hears of no
-/// newer configuration, since it is cut off or was suspended. A version tells nothing of that.
-/// So a node keeps the latest moment before which, as is proved, nothing newer than what it has
-/// in force was confirmed.
+/// A revoked key must not be accepted for long, even by a node that learns of no newer
+/// configuration because it is cut off or was suspended. The version in force doesn't show that.
+/// So a node tracks the latest moment before which, provably, nothing newer than its version in
+/// force was confirmed.
 ///
-/// The moment is that at which a question was *sent*: a read of the store that brought nothing
-/// newer, or a question to another node, less the age that its own proof had there. What is
-/// confirmed while the answer is on its way is not covered by it, however late the answer
-/// comes; and no clocks of two hosts are compared.
+/// That moment is the one at which a question was *sent*: a read of the store that returned nothing
+/// newer, or a question to another node, minus the age of that node's proof. The proof doesn't
+/// cover what is confirmed while the answer is in transit, however late the answer arrives, and
+/// clocks of two hosts are never compared.
 ///
-/// What was confirmed stays confirmed, also if the store comes back from a copy without it: a key
-/// that was taken away by such a configuration must not be accepted, though the store knows it
-/// again. So a proof from before the return stands, and one from after it counts only once
-/// operators have written again what was lost: some time after the return, and not while the
-/// store lacks the version in force. Nodes keep that version meanwhile.
+/// What was confirmed stays confirmed even if the store is restored from a backup that lacks it: a
+/// key that was revoked by such a configuration must not be accepted, although the store has it
+/// again. So a proof from before the restore stays valid, and a proof from after it counts only
+/// once operators have written again what was lost: some time after the restore, and not while
+/// the store lacks the version in force. Nodes keep that version in the meantime.
 ///
-/// All times are of one clock that also counts while the host is suspended. They may be
-/// measured from any moment well before the node's start.
+/// All times are of one clock that also advances while the host is suspended. They may be relative
+/// to any moment well before the node's start.
 #[derive(Debug, Default)]
 pub struct FreshnessProof {
     version: RouteVersion,
-    /// Nothing newer than the version in force was confirmed before this.
-    proven: Option<Duration>,
-    /// The same, for a newer version that another node has.
+    /// Nothing newer than the version in force was confirmed before this moment.
+    proven_until: Option<Duration>,
+    /// The same for a newer version that another node has in force.
     ahead: Option<(RouteVersion, Duration)>,
-    /// The store's last return from a copy.
-    returned: Option<Return>,
+    /// The last restore of the store from a backup.
+    restore: Option<Restore>,
 }
 
 #[derive(Debug)]
-struct Return {
+struct Restore {
     era: StoreEra,
-    /// When what was lost is written again.
-    rewritten: Duration,
-    /// Configuration in force here when it became known.
+    /// When operators have written again what was lost.
+    rewritten_at: Duration,
+    /// Version in force on this node when it learned of the restore.
     version: RouteVersion,
     /// Highest version that the store had in this era; `None` before it was read.
     stored: Option<RouteVersion>,
 }
 
-impl Return {
-    fn is_over(&self, asked: Duration) -> bool {
-        asked >= self.rewritten
+impl Restore {
+    fn is_rewritten(&self, asked: Duration) -> bool {
+        asked >= self.rewritten_at
     }
 
-    /// Whether the store isn't known to have a version, or a higher one, in this era.
+    /// Whether the store isn't known to have this version, or a higher one, in this era.
     fn may_lack(&self, version: RouteVersion) -> bool {
         self.stored.unwrap_or_default() < version
     }
 
-    /// Whether something was told in this era, or in a later one.
-    fn holds_in(&self, era: Option<StoreEra>) -> bool {
+    /// Whether a statement from this era was made after the restore.
+    fn precedes(&self, era: Option<StoreEra>) -> bool {
         era >= Some(self.era)
     }
 }
 
-/// What another node tells of its proof.
+/// Freshness proof that another node reports.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerProof {
-    /// When it was asked.
+    /// When the node was asked.
     pub asked: Duration,
-    /// Configuration in force there.
+    /// Version in force on that node.
     pub version: RouteVersion,
-    /// How old the proof was; `None` if there was none.
+    /// Age of its proof; `None` if it has none.
     pub age: Option<Duration>,
     /// Highest era of the store that it knows of.
     pub era: Option<StoreEra>,
 }
 
 impl FreshnessProof {
-    /// A configuration is in force now; a lower version changes nothing.
+    /// A configuration was put in force; a version lower than the current one is ignored.
     pub fn on_applied(&mut self, version: RouteVersion) {
         self.version = self.version.max(version);
         if let Some((ahead, moment)) = self.ahead
@@ -89,68 +89,69 @@
         }
     }
 
-    /// The store has come back from a copy, in this era.
+    /// The store was restored from a backup, which started this era.
     pub fn on_store_restored(&mut self, now: Duration, era: StoreEra) {
-        if self.returned.as_ref().is_none_or(|known| era > known.era) {
-            self.returned = Some(Return {
+        if self.restore.as_ref().is_none_or(|known| era > known.era) {
+            self.restore = Some(Restore {
                 era,
-                rewritten: now + REWRITE_TIME,
+                rewritten_at: now + REWRITE_TIME,
                 version: self.version,
                 stored: None,
             });
         }
     }
 
-    /// The store has a configuration in an era.
+    /// The store has a configuration of this version in an era.
     pub fn on_store_version(&mut self, era: Option<StoreEra>, version: RouteVersion) {
-        if let Some(returned) = &mut self.returned
-            && returned.holds_in(era)
+        if let Some(restore) = &mut self.restore
+            && restore.precedes(era)
         {
-            returned.stored = returned.stored.max(Some(version));
+            restore.stored = restore.stored.max(Some(version));
         }
     }
 
-    /// Whether the store came back without the configuration that was in force, and was still seen
-    /// to lack it.
+    /// Whether the store was restored without the version that was in force, and still lacked it
+    /// when it was last read.
     pub fn is_store_behind(&self) -> bool {
-        let returned = self.returned.as_ref();
-        returned.is_some_and(|returned| {
-            let stored = returned.stored;
-            stored.is_some_and(|stored| stored < returned.version)
+        let restore = self.restore.as_ref();
+        restore.is_some_and(|restore| {
+            let stored = restore.stored;
+            stored.is_some_and(|stored| stored < restore.version)
         })
     }
 
-    /// A read of the store that began at `asked` was answered in an era, and all that it brought
-    /// is in force or older.
+    /// A read of the store that started at `asked` was answered in an era, and everything that it
+    /// returned is in force or older.
     pub fn on_store_read(&mut self, asked: Duration, era: Option<StoreEra>) {
-        let returned = self.returned.as_ref();
-        let returned = returned.filter(|returned| returned.holds_in(era));
-        let may_lack = returned
-            .is_some_and(|returned| !returned.is_over(asked) || returned.may_lack(self.version));
+        let restore = self.restore.as_ref();
+        let restore = restore.filter(|restore| restore.precedes(era));
+        let may_lack = restore
+            .is_some_and(|restore| !restore.is_rewritten(asked) || restore.may_lack(self.version));
         if !may_lack {
             self.prove(asked);
         }
     }
 
-    /// Another node has told of its proof.
+    /// Another node has reported its proof.
     ///
-    /// What makes no sense is passed over: a question from the future, a proof from before the
-    /// clock began. So is a proof from the time in which the store is filled again, or of a node
-    /// that lacks what the store lost: one that has just started doesn't know of the return.
-    pub fn on_peer_proof(&mut self, now: Duration, told: PeerProof) {
-        let Some(moment) = told.age.and_then(|age| told.asked.checked_sub(age)) else {
+    /// Implausible reports are ignored: a question from the future, or a proof from before the
+    /// clock started. So are proofs from the time in which the store's lost records are written
+    /// again, and proofs of nodes that lack what the store lost: a node that has just started
+    /// doesn't know of the restore.
+    pub fn on_peer_proof(&mut self, now: Duration, report: PeerProof) {
+        let Some(moment) = report.age.and_then(|age| report.asked.checked_sub(age)) else {
             return;
         };
-        let returned = self.returned.as_ref();
-        let returned = returned.filter(|returned| returned.holds_in(told.era));
-        let may_lack = returned.is_some_and(|returned| {
-            let is_behind = returned.may_lack(self.version) && told.version < self.version;
-            !returned.is_over(moment) || is_behind
+        let restore = self.restore.as_ref();
+        let restore = restore.filter(|restore| restore.precedes(report.era));
+        let may_lack = restore.is_some_and(|restore| {
+            let is_behind = restore.may_lack(self.version) && report.version < self.version;
+            !restore.is_rewritten(moment) || is_behind
         });
-        if told.asked > now || may_lack {
+        if report.asked > now || may_lack {
             return;
         }
-        let version = told.version;
+        let version = report.version;
         if version <= self.version {
             self.prove(moment);
         } else if self.ahead.is_none_or(|(_, known)| moment > known) {
@@ -158,19 +159,21 @@
         }
     }
 
-    /// How long ago the configuration in force was the newest for sure.
+    /// Age of the proof: how long ago the configuration in force was provably the newest.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.proven.map(|proven| now.saturating_sub(proven))
+        self.proven_until
+            .map(|proven_until| now.saturating_sub(proven_until))
     }
 
-    /// Whether a key that the configuration in force doesn't know was not known to any that had
-    /// been confirmed at this moment.
+    /// Whether the proof covers this moment: a key that the configuration in force lacks was in no
+    /// configuration that had been confirmed by then.
     pub fn covers(&self, moment: Duration) -> bool {
-        self.proven.is_some_and(|proven| proven >= moment)
+        self.proven_until
+            .is_some_and(|proven_until| proven_until >= moment)
     }
 
     fn prove(&mut self, moment: Duration) {
-        // Proofs come out of order.
-        self.proven = self.proven.max(Some(moment));
+        // Proofs arrive out of order.
+        self.proven_until = self.proven_until.max(Some(moment));
     }
 }
--- a/crates/kumquatquay-core/src/routed/log_read.rs
+++ b/crates/kumquatquay-core/src/routed/log_read.rs
@@ -1,25 +1,26 @@
-//! How a topic of the store's log is read on, also if the store comes back from a copy.
+//! Reads a topic of the store's log, also across restores of the store from a backup.
 
 use kumquatquay_wire::routed::StoreEra;
 
-/// Times that one read starts over; the store comes back once in a while, so a read that meets
-/// more returns than this is one of a broken store.
+/// Most restarts of one read. The store is restored once in a while; a read that meets more
+/// restores than this is of a broken store.
 const RESTARTS_LIMIT_COUNT: u32 = 3;
 
-/// Where reads of a topic go on: the first offset that was not read yet, in an era of the store.
+/// Position from which reads of a topic resume: the first unread offset, in an era of the store.
 ///
-/// A store that comes back from a copy gives offsets out again. A node that has read up to 120
-/// and asks a store that has 100 now is told so; one that asks a moment later, when there are
-/// 121, would get the last record only and never see those between. The era tells them apart.
+/// A store that was restored from a backup assigns offsets a second time. A node that has read up
+/// to offset 120 notices this if the restored store ends at 100. If the store has grown to 121 by
+/// then, the node would get the last record only and never see those between. The era
+/// distinguishes the two cases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogPosition {
     era: Option<StoreEra>,
-    /// Unknown at first, and after records that were not read have expired.
+    /// Unknown at first, after a restore of the store, and after unread records have expired.
     next: Option<u64>,
 }
 
 impl LogPosition {
-    /// Begins a read; several may be under way.
+    /// Starts a read; several may be in progress.
     pub fn begin(&self) -> LogRead {
         let stage = match self.next {
             Some(from) => Stage::Resume { from },
@@ -33,8 +34,9 @@
         }
     }
 
-    /// All below an offset was read in an era; `true` unless that era is over.
-    fn read_through(&mut self, era: Option<StoreEra>, next: u64) -> bool {
+    /// Advances to an offset below which everything was read in an era. Returns `false`, without
+    /// effect, if that era is over.
+    fn advance_to(&mut self, era: Option<StoreEra>, next: u64) -> bool {
         if era < self.era {
             return false;
         }
@@ -45,97 +47,107 @@
     }
 }
 
-/// One call of a read.
+/// Next step of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogStep {
-    /// Asks for a page of the newest records of all keys.
+    /// Call the store for a page of the newest records of all keys.
     Newest {
-        /// Key behind which the page begins.
+        /// Key after which the page starts.
         after: Option<String>,
     },
-    /// Asks for records.
+    /// Call the store for records.
     Records {
-        /// Offset of the first one.
+        /// Offset of the first record.
         from: u64,
-        /// Whether the store may hold the call until there is one.
+        /// Whether the store may hold the call until there is a record.
         may_hold: bool,
     },
     /// The read has ended.
     Done {
-        /// The era that it belongs to.
+        /// Era in which it was answered.
         era: Option<StoreEra>,
-        /// Whether all that the store had when it was asked has been read by now.
+        /// Whether everything that the store had when it was called has been read.
         is_complete: bool,
     },
-    /// The read was answered from an era that is over: records that it brought were confirmed
-    /// once, and it says nothing of what the store has now.
+    /// The read was answered in an era that is over. The records that it returned were once
+    /// confirmed, but it says nothing about what the store has now.
     Outdated,
 }
 
 /// Answer to one call of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogAnswer {
-    /// Era that the store told with it; `None` if it told none that can be read.
+    /// Era that the store sent with it; `None` if it sent none, or a malformed one.
     pub era: Option<StoreEra>,
-    /// What it brought.
+    /// Summary of the records.
     pub page: LogPage,
 }
 
-/// What an answer brought, as far as it decides how to go on.
+/// Summary of an answer's records, as needed to decide on the next step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogPage {
-    /// Newest records.
+    /// A page of the newest records of all keys.
     Newest {
-        /// Key behind which the next page begins, if there is one.
+        /// Key after which the next page starts, if there is one.
         next_after: Option<String>,
-        /// Offset behind the last record of the topic.
+        /// Offset after the last record of the topic.
         end: u64,
     },
-    /// Records from the offset on that was asked for.
+    /// Records from the requested offset on.
     Records {
-        /// So many.
+        /// Number of offsets that they span.
         offsets_count: u64,
-        /// Offset behind the last record of the topic.
+        /// Offset after the last record of the topic.
         end: u64,
     },
-    /// The store doesn't have that offset: it has expired, or hasn't been given out.
+    /// The store doesn't have the requested offset: it has expired, or wasn't assigned yet.
     OffsetUnavailable {
-        /// Offset of the oldest record that is kept, if that was told.
+        /// Offset of the oldest record that the store retains, if it said so.
         oldest_offset: Option<u64>,
     },
 }
 
-/// A read of a topic, call by call: a single one that goes on where the last read ended, or the
-/// newest records of all keys and then the history.
+/// A read of a topic, call by call. It either resumes after the previous read with a single call,
+/// or reads the newest records of all keys and then the retained history.
 ///
-/// The newest record of a key is the one that was written last. A write that is done late,
-/// behind those of higher versions, makes an older configuration the newest record, and a node
-/// that took it for the newest configuration would send calls where they may not go any more. So
-/// what is kept of the history is read as well.
+/// The newest record of a key is the one that was written last. A write that is delayed until
+/// after those of higher versions makes an older configuration the newest record; a node that took
+/// it for the newest configuration would send calls to destinations that are no longer allowed. So
+/// the retained history is read as well.
 ///
-/// Pages of two eras are no whole: between them, records that stood behind the first page may
-/// have moved before it. So a page of a higher era starts the read over.
+/// Pages of two eras don't form a consistent snapshot: records that were after the first page may
+/// be before it in the next era. So a page of a higher era restarts the read.
 #[derive(Clone, Debug)]
 pub struct LogRead {
-    /// Era of what was read last.
+    /// Era of the last answer.
     era: Option<StoreEra>,
     stage: Stage,
     restarts_count: u32,
-    /// End of the topic on the first page of newest records.
+    /// Offset after the last record of the topic, by the first page of newest records.
     end: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    Resume { from: u64 },
-    Newest { after: Option<String> },
-    History { from: u64, has_expired: bool },
-    Ended { is_complete: bool },
+    /// Reads on from the position of the previous read.
+    Resume {
+        from: u64,
+    },
+    Newest {
+        after: Option<String>,
+    },
+    History {
+        from: u64,
+        has_expired: bool,
+    },
+    Ended {
+        is_complete: bool,
+    },
     Outdated,
 }
 
 impl LogRead {
-    /// The next call.
+    /// The next step.
     pub fn step(&self) -> LogStep {
         match &self.stage {
             Stage::Resume { from } => LogStep::Records {
@@ -159,7 +171,7 @@
 
     /// The call was answered.
     pub fn on_answer(&mut self, position: &mut LogPosition, answer: LogAnswer) {
-        // An era that can't be read changes nothing.
+        // An answer without a valid era counts as one in the era of the last answer.
         let era = answer.era.or(self.era);
         if era < self.era || era < position.era {
             self.stage = Stage::Outdated;
@@ -182,7 +194,7 @@
         }
     }
 
-    /// Whether nothing was read yet that another era would contradict.
+    /// Whether nothing was read yet that would be inconsistent with another era.
     fn is_first_call(&self) -> bool {
         matches!(self.stage, Stage::Newest { after: None })
     }
@@ -195,7 +207,7 @@
         self.restart();
     }
 
-    /// The store doesn't go on where this topic was read to, whatever the era.
+    /// The store's log doesn't continue what was read, whatever its era says.
     fn discard_position(&mut self, position: &mut LogPosition) {
         if position.era == self.era {
             position.next = None;
@@ -227,14 +239,14 @@
     fn on_records(&mut self, position: &mut LogPosition, offsets_count: u64, end: u64) {
         let from = match self.stage {
             Stage::Resume { from } if end < from => {
-                // Behind the end of the log: it isn't the one that was read before.
+                // The log ends before this offset, so it isn't the log that was read before.
                 self.discard_position(position);
                 return;
             }
             Stage::Resume { from } | Stage::History { from, .. } => from,
             Stage::Newest { .. } | Stage::Ended { .. } | Stage::Outdated => return,
         };
-        self.read_through(position, from + offsets_count, end);
+        self.advance_to(position, from + offsets_count, end);
     }
 
     fn on_offset_unavailable(&mut self, position: &mut LogPosition, oldest_offset: Option<u64>) {
@@ -243,7 +255,7 @@
             Stage::History {
                 has_expired: false, ..
             } => {
-                // What a store that doesn't tell has kept is behind the end that it told.
+                // If the store doesn't name its oldest record, continue at the end that it sent.
                 let from = oldest_offset.or(self.end).unwrap_or_default();
                 self.stage = Stage::History {
                     from,
@@ -251,15 +263,15 @@
                 };
             }
             Stage::History { from, .. } => {
-                position.read_through(self.era, from);
+                position.advance_to(self.era, from);
                 self.stage = Stage::Ended { is_complete: false };
             }
             Stage::Newest { .. } | Stage::Ended { .. } | Stage::Outdated => {}
         }
     }
 
-    fn read_through(&mut self, position: &mut LogPosition, next: u64, end: u64) {
-        self.stage = if position.read_through(self.era, next) {
+    fn advance_to(&mut self, position: &mut LogPosition, next: u64, end: u64) {
+        self.stage = if position.advance_to(self.era, next) {
             Stage::Ended {
                 is_complete: next >= end,
             }
--- a/crates/kumquatquay-core/src/routed/store_readers.rs
+++ b/crates/kumquatquay-core/src/routed/store_readers.rs
@@ -1,24 +1,24 @@
-//! Which nodes follow the store for all.
+//! Selects the nodes that read the store on behalf of all.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr};
 
 use kumquatquay_wire::{DataCentreName, MemberRecord, MemberState};
 
-/// Nodes of each data centre that follow the store. One may be gone, or turned away by the
-/// store, without anybody noticing.
-const READERS_COUNT: usize = 2;
+/// Readers in each data centre. There are two because one may be down, or rejected by the store,
+/// without being noticed.
+const READERS_PER_DATA_CENTRE_COUNT: usize = 2;
 
-/// Whether a node follows the store, and how many do.
+/// Whether a node reads the store on behalf of all, and how many nodes do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreReaders {
-    /// Whether this node is one of them.
+    /// Whether this node is a reader.
     pub is_reader: bool,
-    /// Those of all data centres.
+    /// Readers in all data centres.
     pub count: usize,
 }
 
 impl Default for StoreReaders {
-    /// A node that knows nobody is the only one.
+    /// A node that knows no other node is the only reader.
     fn default() -> Self {
         Self {
             is_reader: true,
@@ -28,9 +28,11 @@
 }
 
 impl StoreReaders {
-    /// Finds the readers by rank: in each data centre those whose addresses have the highest
-    /// hash. It needs no election, since two nodes that see other members both read, or the
-    /// others notice that nobody tells them anything.
+    /// Selects the readers by rank: in each data centre, the nodes whose addresses have the highest
+    /// hashes.
+    ///
+    /// This needs no election. If nodes know different members, more nodes than necessary read, or
+    /// the others notice that they get no reports.
     pub fn select<'a>(
         own: SocketAddr,
         own_data_centre: &str,
@@ -41,14 +43,16 @@
         let mut higher_count = 0;
         for member in members.filter(|member| is_live(member)) {
             *live_counts.entry(&member.data_centre).or_default() += 1;
-            let is_near = member.data_centre == own_data_centre;
-            if is_near && member.control != own && rank(member.control) > own_rank {
+            let is_local = member.data_centre == own_data_centre;
+            if is_local && member.control != own && rank(member.control) > own_rank {
                 higher_count += 1;
             }
         }
-        let counts = live_counts.values().map(|count| READERS_COUNT.min(*count));
+        let counts = live_counts
+            .values()
+            .map(|count| READERS_PER_DATA_CENTRE_COUNT.min(*count));
         Self {
-            is_reader: higher_count < READERS_COUNT,
+            is_reader: higher_count < READERS_PER_DATA_CENTRE_COUNT,
             count: counts.sum::<usize>().max(1),
         }
     }
@@ -58,17 +62,17 @@
         data_centre: &str,
         members: impl Iterator<Item = &'a MemberRecord>,
     ) -> Vec<&'a MemberRecord> {
-        let near = members.filter(|member| is_live(member) && member.data_centre == data_centre);
-        let mut near: Vec<&MemberRecord> = near.collect();
-        near.sort_by_key(|member| Reverse(rank(member.control)));
-        near.truncate(READERS_COUNT);
-        near
+        let local = members.filter(|member| is_live(member) && member.data_centre == data_centre);
+        let mut local: Vec<&MemberRecord> = local.collect();
+        local.sort_by_key(|member| Reverse(rank(member.control)));
+        local.truncate(READERS_PER_DATA_CENTRE_COUNT);
+        local
     }
 }
 
 fn is_live(member: &MemberRecord) -> bool {
-    let is_there = !matches!(member.state, MemberState::Gone | MemberState::Draining);
-    is_there && !member.is_suspect
+    let is_active = !matches!(member.state, MemberState::Gone | MemberState::Draining);
+    is_active && !member.is_suspect
 }
 
 fn rank(control: SocketAddr) -> [u8; 8] {
