--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -28,7 +28,7 @@
 pub(super) struct PendingRequest<'a> {
     pub(super) call: &'a OutgoingCall,
     /// When it was received.
-    pub(super) began: Duration,
+    pub(super) received_at: Duration,
     /// Deadline that the caller stated, if any.
     pub(super) caller_deadline: Option<Duration>,
 }
@@ -94,7 +94,7 @@
     /// Time by which the answer should be there: the target latency of the route, or the deadline
     /// if that is earlier.
     pub(super) fn soft_deadline(&self) -> Duration {
-        let soft_deadline = self.began + self.call.route.settings.target_latency;
+        let soft_deadline = self.received_at + self.call.route.settings.target_latency;
         soft_deadline.min(self.call.deadline)
     }
 }
@@ -131,8 +131,8 @@
 ) -> Admission {
     match hold(node, pending, flow, claimant_shortage).await {
         HoldResult::Admitted => recheck(node, pending),
-        HoldResult::NoRoom { room_in } => {
-            Admission::Refused(refuse(node, pending, claimant_shortage, room_in))
+        HoldResult::NoRoom { room_expected_in } => {
+            Admission::Refused(refuse(node, pending, claimant_shortage, room_expected_in))
         }
         HoldResult::Stopping => Admission::Refused(refuse_stopping(node, pending.call)),
         HoldResult::ConfigurationChanged => Admission::ConfigurationChanged,
@@ -239,14 +239,14 @@
     node: &RoutedNode,
     pending: &PendingRequest<'_>,
     claimant_shortage: &ClaimantShortage,
-    room_in: Option<Duration>,
+    room_expected_in: Option<Duration>,
 ) -> Response<BufferedBody> {
     let now = node.now();
     let ClaimantShortage {
         shortage,
         admission_probability,
     } = claimant_shortage;
-    let short_for = if node.is_on(Mechanism::GrowingRetryAfter) {
+    let shortage_duration = if node.is_on(Mechanism::GrowingRetryAfter) {
         shortage.duration
     } else {
         Duration::ZERO
@@ -256,8 +256,8 @@
         time_left: pending
             .caller_deadline
             .map(|caller_deadline| caller_deadline.saturating_sub(now)),
-        shortage_duration: short_for,
-        room_expected_in: room_in,
+        shortage_duration,
+        room_expected_in,
     };
     let wait = retry.sample(&mut *node.random.borrow_mut());
     node.metrics.count("refused", "shortage");
@@ -274,7 +274,14 @@
             shortage.duration.as_millis(),
             shortage.admission_probability
         );
-        log_request(node, pending.call, "refused", &why, None, pending.began);
+        log_request(
+            node,
+            pending.call,
+            "refused",
+            &why,
+            None,
+            pending.received_at,
+        );
     }
     local_answer(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -43,7 +43,7 @@
     request: Request<CallerBody>,
 ) -> Response<BufferedBody> {
     let node = &node;
-    let began = node.now();
+    let received_at = node.now();
     let (mut parts, body) = request.into_parts();
     let metadata = (node.dialect.read_request)(&parts.headers);
     let identified = match identify(node, &parts, metadata.key).await {
@@ -93,11 +93,11 @@
         parts,
         metadata,
         body,
-        began,
+        received_at,
     };
     let call = match admit_request(node, &request, identified).await {
-        Entered::Admitted(call) => call,
-        Entered::Refused(refusal) => return refusal,
+        RequestAdmission::Admitted(call) => call,
+        RequestAdmission::Refused(refusal) => return refusal,
     };
     // Its headers share the receive buffer, which the HTTP library reuses once they are dropped.
     drop(request);
@@ -122,11 +122,11 @@
             if let Some(token) = token.filter(|_| has_not_run) {
                 return_token(node, token);
             }
-            build_response(node, &call, answer, began)
+            build_response(node, &call, answer, received_at)
         }
         Err(_) => {
             node.metrics.count("failed", "deadline");
-            log_request_rate_limited(node, &call, "failed", "deadline", None, began);
+            log_request_rate_limited(node, &call, "failed", "deadline", None, received_at);
             local_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
     }
@@ -141,12 +141,12 @@
         return true;
     }
     let name = &route.settings.name;
-    let is_called = node
+    let is_internal = node
         .entry_admission
         .borrow()
         .is_from_outside(node.now(), name)
         == Some(false);
-    node.stop_phase() == StopPhase::Closing && !is_called
+    node.stop_phase() == StopPhase::Closing && !is_internal
 }
 
 /// Refuses a request whose caller or route is not identified.
@@ -194,8 +194,8 @@
 fn count_failed_call(node: &RoutedNode, call: &OutgoingCall) {
     let now = node.now();
     let name = &call.route.settings.name;
-    let is_called = node.entry_admission.borrow().is_from_outside(now, name) == Some(false);
-    if !is_called {
+    let is_internal = node.entry_admission.borrow().is_from_outside(now, name) == Some(false);
+    if !is_internal {
         return;
     }
     node.run_failures.borrow_mut().call_failed(now);
@@ -209,11 +209,11 @@
     parts: Parts,
     metadata: RequestMetadata,
     body: Bytes,
-    began: Duration,
+    received_at: Duration,
 }
 
 /// Result of the admission of a received request.
-enum Entered {
+enum RequestAdmission {
     Admitted(OutgoingCall),
     Refused(Response<BufferedBody>),
 }
@@ -224,23 +224,23 @@
     node: &Rc<RoutedNode>,
     request: &ReadRequest,
     mut identified: Identified,
-) -> Entered {
+) -> RequestAdmission {
     loop {
         let Some(call) = build_call(request, identified) else {
             node.metrics.count("refused", "no_destination");
             let retry = Some(NOT_CONFIGURED_RETRY);
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Entered::Refused(local_answer(status, retry, "no destination\n"));
+            return RequestAdmission::Refused(local_answer(status, retry, "no destination\n"));
         };
         let time_left = request.metadata.time_left;
         let pending = PendingRequest {
             call: &call,
-            began: request.began,
-            caller_deadline: time_left.map(|time_left| request.began + time_left),
+            received_at: request.received_at,
+            caller_deadline: time_left.map(|time_left| request.received_at + time_left),
         };
         match admit(node, &pending).await {
-            Admission::Admitted => return Entered::Admitted(call),
-            Admission::Refused(refusal) => return Entered::Refused(refusal),
+            Admission::Admitted => return RequestAdmission::Admitted(call),
+            Admission::Refused(refusal) => return RequestAdmission::Refused(refusal),
             Admission::ConfigurationChanged => {}
         }
         identified = match identify_without_waiting(node, &request.parts, request.metadata.key) {
@@ -250,7 +250,7 @@
                 // gets the final one.
                 node.metrics.count("refused", refusal.name());
                 let refusal = refuse_temporarily(node, &call, refusal.text());
-                return Entered::Refused(refusal);
+                return RequestAdmission::Refused(refusal);
             }
         };
     }
@@ -276,7 +276,7 @@
         version: table.version(),
         request_priority: Cell::new(request_priority(&route.settings, workspace.as_deref())),
         workspace,
-        deadline: deadline_of(&route, metadata, request.began),
+        deadline: deadline_of(&route, metadata, request.received_at),
         attempt_id: metadata.attempt_id.clone().unwrap_or_default(),
         method: String::from(parts.method.as_str()),
         target: request_target(parts),
@@ -297,9 +297,9 @@
 
 /// Time by which the caller gets a response: the earlier of its own deadline and the timeout of
 /// the route.
-fn deadline_of(route: &RouteEntry, metadata: &RequestMetadata, began: Duration) -> Duration {
+fn deadline_of(route: &RouteEntry, metadata: &RequestMetadata, received_at: Duration) -> Duration {
     let timeout = route.settings.timeout;
-    began + metadata.time_left.map_or(timeout, |left| left.min(timeout))
+    received_at + metadata.time_left.map_or(timeout, |left| left.min(timeout))
 }
 
 async fn read_body(body: CallerBody, limit_bytes: usize) -> Result<Bytes, StatusCode> {
@@ -323,14 +323,14 @@
     node: &RoutedNode,
     call: &OutgoingCall,
     answer: LinkAnswer,
-    began: Duration,
+    received_at: Duration,
 ) -> Response<BufferedBody> {
     match &answer.outcome {
         LinkOutcome::Answered { status } => {
-            let latency = node.now().saturating_sub(began);
+            let latency = node.now().saturating_sub(received_at);
             node.metrics.record_served(latency);
             if node.metrics.take_sampled_log_permit(node.now()) {
-                log_request_end(node, call, &answer, "served", began);
+                log_request_end(node, call, &answer, "served", received_at);
             }
             let mut response = Response::new(Full::new(answer.payload.body));
             *response.status_mut() =
@@ -340,7 +340,7 @@
         }
         LinkOutcome::NotRun(reason) => {
             node.metrics.count("refused", not_run_label(*reason));
-            log_request_end(node, call, &answer, "refused", began);
+            log_request_end(node, call, &answer, "refused", received_at);
             let retry = Some(retry_after(node, &call.route.settings));
             local_answer(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -351,12 +351,12 @@
         LinkOutcome::Unknown(UnknownReason::NoAnswer) => {
             node.metrics
                 .count("failed", unknown_label(UnknownReason::NoAnswer));
-            log_request_end(node, call, &answer, "failed", began);
+            log_request_end(node, call, &answer, "failed", received_at);
             local_answer(StatusCode::GATEWAY_TIMEOUT, None, "no answer in time\n")
         }
         LinkOutcome::Unknown(reason) => {
             node.metrics.count("failed", unknown_label(*reason));
-            log_request_end(node, call, &answer, "failed", began);
+            log_request_end(node, call, &answer, "failed", received_at);
             local_answer(
                 StatusCode::BAD_GATEWAY,
                 None,
@@ -368,6 +368,6 @@
 
 /// Retry-After for a refusal that isn't due to a known shortage.
 pub(super) fn retry_after(node: &RoutedNode, route: &RouteSettings) -> Duration {
-    let returns = RetryAfter::without_shortage(route.target_latency);
-    returns.sample(&mut *node.random.borrow_mut())
+    let retry = RetryAfter::without_shortage(route.target_latency);
+    retry.sample(&mut *node.random.borrow_mut())
 }
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -37,24 +37,25 @@
 const HANG_FACTOR: u32 = 10;
 const MIN_HANG_TIME: Duration = Duration::from_millis(200);
 
-/// A call that came in at the entry of this host.
+/// A call that was received at the entry of this host and is forwarded to a backend server.
 #[derive(Debug)]
 pub(crate) struct OutgoingCall {
     pub(crate) caller: Option<SocketAddr>,
     pub(crate) route: Arc<RouteEntry>,
     pub(crate) service: ServiceName,
     pub(crate) version: RouteVersion,
-    /// Workspace that holds the caller's key.
+    /// Workspace to which the caller's key belongs.
     pub(crate) workspace: Option<Arc<WorkspaceSettings>>,
-    /// Priority of the root request that it belongs to. It is the call's own priority until the
-    /// run that made the call is known.
+    /// Priority of the root request that the call belongs to. Until the run that made the call is
+    /// known, it is computed as if the call were a root request.
     pub(crate) request_priority: Cell<Priority>,
     pub(crate) attempt_id: String,
     pub(crate) deadline: Duration,
     pub(crate) method: String,
     pub(crate) target: String,
     pub(crate) payload: Payload,
-    /// Kept here so that it can also be logged for a call whose deadline passed.
+    /// Progress so far. It is kept here so that it can be logged if the deadline passes before
+    /// [`forward`] returns.
     pub(crate) progress: Cell<Progress>,
     /// Whether a backend server may have received the call.
     pub(crate) may_have_run: MayHaveRun,
--- a/crates/kumquatquayd/src/routed/held_requests.rs
+++ b/crates/kumquatquayd/src/routed/held_requests.rs
@@ -35,7 +35,7 @@
     /// There is no capacity, and none is expected in time.
     NoRoom {
         /// Time after which there should be room to hold the request, if known.
-        room_in: Option<Duration>,
+        room_expected_in: Option<Duration>,
     },
     /// The node is shutting down.
     Stopping,
@@ -100,17 +100,17 @@
         held_bytes: held_bytes(pending.call),
     };
     let (sender, released) = oneshot::channel();
-    let began = node.now();
+    let held_since = node.now();
     let offer = {
         let mut random = node.random.borrow_mut();
         let mut held = node.held_requests.borrow_mut();
-        held.offer(began, &request, sender, &mut *random)
+        held.offer(held_since, &request, sender, &mut *random)
     };
     let key = match offer {
         HoldDecision::Admitted => return HoldResult::Admitted,
-        HoldDecision::Refused {
-            room_expected_in: room_in,
-        } => return HoldResult::NoRoom { room_in },
+        HoldDecision::Refused { room_expected_in } => {
+            return HoldResult::NoRoom { room_expected_in };
+        }
         HoldDecision::Held(key) => key,
     };
     node.request_held.notify_one();
@@ -122,7 +122,7 @@
     // The releasing task drops a sender only when the node exits.
     let end = released.await.unwrap_or(HoldResult::Stopping);
     guard.has_ended = true;
-    record_end(node, pending, &claimant_shortage.shortage, began, end);
+    record_end(node, pending, &claimant_shortage.shortage, held_since, end);
     end
 }
 
@@ -135,7 +135,7 @@
     node: &RoutedNode,
     pending: &PendingRequest<'_>,
     shortage: &Shortage,
-    began: Duration,
+    held_since: Duration,
     end: HoldResult,
 ) {
     let now = node.now();
@@ -153,7 +153,7 @@
         rank = call.request_priority.get(),
         short_service = shortage.service.as_str(),
         level = shortage.level,
-        held_ms = now.saturating_sub(began).as_millis() as u64,
+        held_ms = now.saturating_sub(held_since).as_millis() as u64,
         left_ms = pending.soft_deadline().saturating_sub(now).as_millis() as u64,
         outcome = end.name();
         "released a held request"
@@ -195,16 +195,14 @@
         .release(node.now(), |flow| admission_probability(node, flow));
     for ReleasedRequest {
         ticket: sender,
-        reason: outcome,
+        reason,
     } in released
     {
-        let end = match outcome {
+        let end = match reason {
             ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => HoldResult::Admitted,
-            ReleaseReason::NoRoom {
-                room_expected_in: room_in,
-            } => HoldResult::NoRoom { room_in },
+            ReleaseReason::NoRoom { room_expected_in } => HoldResult::NoRoom { room_expected_in },
         };
-        if outcome == ReleaseReason::WaitExhausted {
+        if reason == ReleaseReason::WaitExhausted {
             node.metrics.count("held", "due");
         }
         let _ = sender.send(end);
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -30,7 +30,7 @@
 /// Capacity to reserve for the headers that are added to those of the caller.
 const FORWARDED_FIELDS_COUNT: usize = 3;
 
-/// A call with its target time and its deadline.
+/// A call with its soft deadline and its deadline.
 struct TimedCall<'a> {
     call: &'a CallHead<'a>,
     payload: &'a Payload,
@@ -137,14 +137,14 @@
 struct RunSlot {
     node: Rc<RoutedNode>,
     route: String,
-    began: Duration,
+    started_at: Duration,
     records_run_time: bool,
     is_forwarded: bool,
 }
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        let work = self.node.now().saturating_sub(self.began);
+        let work = self.node.now().saturating_sub(self.started_at);
         let run = self.records_run_time.then_some(RouteRunTime {
             route: &self.route,
             run_time: work,
@@ -310,7 +310,7 @@
         Self {
             node: Rc::clone(node),
             route: String::from(timed.call.route),
-            began: node.now(),
+            started_at: node.now(),
             records_run_time: false,
             is_forwarded: false,
         }
@@ -382,10 +382,10 @@
 ) -> LinkAnswer {
     node.gate_retries.borrow_mut().on_first_attempt(node.now());
     for attempts_count in 1.. {
-        slot.began = node.now();
+        slot.started_at = node.now();
         let result = forward_once(node, timed, &mut slot).await;
         let is_rejected = matches!(result, ForwardResult::Rejected);
-        count_run(node, slot.began, &result);
+        count_run(node, slot.started_at, &result);
         node.gate_retries.borrow_mut().on_result(is_rejected);
         if let ForwardResult::Ended(answer) = result {
             // Quick failures would make a failing server look like the fastest one.
@@ -402,7 +402,7 @@
 
 /// Counts the outcome of a run in the metrics and, if it is a success, a failure or a rejection,
 /// in the failure rate of the backend server.
-fn count_run(node: &RoutedNode, began: Duration, result: &ForwardResult) {
+fn count_run(node: &RoutedNode, started_at: Duration, result: &ForwardResult) {
     let now = node.now();
     let mut failures = node.run_failures.borrow_mut();
     let outcome = match result {
@@ -411,7 +411,7 @@
             "turned_away"
         }
         ForwardResult::Ended(answer) if answer.is_failed_run() => {
-            failures.failed(began, now);
+            failures.failed(started_at, now);
             "failed"
         }
         ForwardResult::Ended(answer) if answer.is_success() => {
@@ -458,7 +458,7 @@
     run.has_result = sent.is_ok();
     run.is_success = matches!(&sent, Ok(Ok(answer)) if (200..300).contains(&answer.status));
     match sent {
-        Ok(Ok(answer)) => classify_answer(node, timed, slot.began, answer),
+        Ok(Ok(answer)) => classify_answer(node, timed, slot.started_at, answer),
         Ok(Err(error)) => ForwardResult::Ended(on_send_error(node, error)),
         Err(_) => ForwardResult::Ended(LinkAnswer::unknown(UnknownReason::NoAnswer)),
     }
@@ -492,7 +492,7 @@
 fn classify_answer(
     node: &RoutedNode,
     timed: &TimedCall<'_>,
-    began: Duration,
+    started_at: Duration,
     answer: BackendAnswer,
 ) -> ForwardResult {
     let metadata = (node.dialect.read_answer)(&answer.headers);
@@ -525,7 +525,7 @@
         return ForwardResult::Ended(LinkAnswer::not_run(NotRunReason::TurnedAway));
     }
     if metadata.is_not_run {
-        on_notices(node, timed.call, began, &metadata);
+        on_notices(node, timed.call, started_at, &metadata);
         answer.return_to_pool(metadata.keep_alive_timeout);
         return ForwardResult::Rejected;
     }
@@ -538,7 +538,7 @@
         answer.close_connection();
         return ForwardResult::Ended(LinkAnswer::unknown(UnknownReason::Garbled));
     }
-    on_notices(node, timed.call, began, &metadata);
+    on_notices(node, timed.call, started_at, &metadata);
     let status = answer.status;
     let fields = fields_from_headers(&answer.headers);
     let body = answer.return_to_pool(metadata.keep_alive_timeout);
--- a/crates/kumquatquayd/src/routed/request_log.rs
+++ b/crates/kumquatquayd/src/routed/request_log.rs
@@ -39,7 +39,7 @@
     call: &OutgoingCall,
     answer: &LinkAnswer,
     outcome: &'static str,
-    began: Duration,
+    received_at: Duration,
 ) {
     let why = match &answer.outcome {
         LinkOutcome::Answered { status, .. } => status.to_string(),
@@ -47,9 +47,9 @@
         LinkOutcome::Unknown(reason) => reason.to_string(),
     };
     if outcome == "served" {
-        log_request(node, call, outcome, &why, answer.report, began);
+        log_request(node, call, outcome, &why, answer.report, received_at);
     } else {
-        log_request_rate_limited(node, call, outcome, &why, answer.report, began);
+        log_request_rate_limited(node, call, outcome, &why, answer.report, received_at);
     }
 }
 
@@ -60,10 +60,10 @@
     outcome: &'static str,
     why: &str,
     report: Option<GateReport>,
-    began: Duration,
+    received_at: Duration,
 ) {
     if node.metrics.take_log_permit(node.now()) {
-        log_request(node, call, outcome, why, report, began);
+        log_request(node, call, outcome, why, report, received_at);
     }
 }
 
@@ -73,7 +73,7 @@
     outcome: &'static str,
     why: &str,
     report: Option<GateReport>,
-    began: Duration,
+    received_at: Duration,
 ) {
     let now = node.now();
     let progress = call.progress.get();
@@ -89,7 +89,7 @@
         outcome = outcome,
         why = why,
         version = call.version,
-        took_ms = now.saturating_sub(began).as_millis() as u64,
+        took_ms = now.saturating_sub(received_at).as_millis() as u64,
         left_ms = call.deadline.saturating_sub(now).as_millis() as u64,
         sends = progress.sends_count,
         refusals = progress.refusals_count as u64,
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -13,11 +13,12 @@
     reports::on_backend_changed,
 };
 
-/// Applies the shutdown notice and the rate limit in the answer to a run that started at `began`.
+/// Applies the shutdown notice and the rate limit in the answer to a run that started at
+/// `started_at`.
 pub(crate) fn on_notices(
     node: &RoutedNode,
     call: &CallHead<'_>,
-    began: Duration,
+    started_at: Duration,
     metadata: &AnswerMetadata,
 ) {
     let Some(life) = answering_life(node, call) else {
@@ -26,7 +27,7 @@
     if metadata.is_leaving {
         on_leaving(node, &life);
     }
-    on_answer_limit(node, &life, began, metadata.limit);
+    on_answer_limit(node, &life, started_at, metadata.limit);
 }
 
 /// The life that answered a call: the one to which the call was addressed, or else the current one.
@@ -39,8 +40,8 @@
     current.map(|current| Cow::Owned(current.life.clone()))
 }
 
-/// Handles a shutdown notice in an answer like one in a report: all hosts are notified, and no calls
-/// are forwarded once the drain time is over, whatever later reports say.
+/// Handles a shutdown notice in an answer like one in a report: all hosts are notified, and no
+/// calls are forwarded once the drain time is over, whatever later reports say.
 fn on_leaving(node: &RoutedNode, life: &BackendLife) {
     let mut lives = node.lives.borrow_mut();
     if lives.is_leaving(life) {
@@ -57,7 +58,7 @@
 fn on_answer_limit(
     node: &RoutedNode,
     life: &BackendLife,
-    began: Duration,
+    started_at: Duration,
     limit: AdvertisedRateLimit,
 ) {
     let now = node.now();
@@ -69,7 +70,9 @@
         }
     }
     let mut gate = node.gate.borrow_mut();
-    let change = gate.rate_limit_mut().on_answer(now, life, began, limit);
+    let change = gate
+        .rate_limit_mut()
+        .on_answer(now, life, started_at, limit);
     drop(gate);
     on_limit_change(node, life, change, "answer");
 }
--- a/crates/kumquatquayd/src/routed/started_request.rs
+++ b/crates/kumquatquayd/src/routed/started_request.rs
@@ -110,7 +110,8 @@
 }
 
 impl StartedRequest {
-    /// Starts a request of `size_bytes` bytes. Its answer counts in `waiting_bytes` until it is taken.
+    /// Starts a request of `size_bytes` bytes. Its answer counts in `waiting_bytes` until it is
+    /// taken.
     pub(crate) fn start(
         node: &Rc<RoutedNode>,
         caller: Option<CallerAddress>,
--- a/crates/kumquatquayd/src/routed/store_restore.rs
+++ b/crates/kumquatquayd/src/routed/store_restore.rs
@@ -11,8 +11,8 @@
 
 use super::{interface::ObservedEras, node::RoutedNode};
 
-/// Minimum interval between log lines on ignored eras: a store or a node with such an era reports it
-/// in each answer.
+/// Minimum interval between log lines on ignored eras: a store or a node with such an era reports
+/// it in each answer.
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// State about restores of the store.
@@ -74,7 +74,7 @@
             EraChange::None => {}
             EraChange::First => {
                 log::info!(event = "store_era", era = era, from = from;
-                    "the store reports its era, which increases when it is restored from a backup");
+                    "the store reports its era, which rises when it is restored from a backup");
             }
             EraChange::Implausible => {
                 self.log_ignored_era("senseless", "the reported era is too far ahead");
@@ -86,8 +86,8 @@
                 self.metrics.count("store_returned", from);
                 log::warn!(event = "store_returned_from_copy", era = era, before = previous,
                     from = from, in_force = self.route_version();
-                    "the store was restored from a backup and lost recent writes; it is read again, and \
-                     this node registers again");
+                    "the store was restored from a backup and lost recent writes; it is read again, \
+                     and this node registers again");
                 self.store_restore.is_pending.set(true);
                 self.store_restore.restored.notify_one();
                 self.store_poller_wake.notify_one();
@@ -110,8 +110,8 @@
         if is_behind {
             self.metrics.count("store_lacks", "configuration");
             log::warn!(event = "store_lacks_configuration", in_force = in_force;
-                "the restored store lacks the configuration in force, which stays in force; write it \
-                 to the store again");
+                "the restored store lacks the configuration in force, which stays in force; write \
+                 it to the store again");
         } else {
             log::info!(event = "store_has_configuration", in_force = in_force;
                 "the store has the configuration in force again, or a newer one");
