--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -40,7 +40,7 @@
 /// requests are started beside them.
 const BUFFERED_BODY_LIMIT_BYTES: u64 = 16 * 1024;
 
-/// Largest buffer that is kept while it is empty.
+/// Capacity above which an empty buffer is released.
 const KEPT_BUFFER_BYTES: usize = 4 * 1024;
 
 /// A caller's connection with its buffered bytes and started requests.
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Begins to forward the next request; returns whether its head is complete.
+    /// Begins to forward the next request; returns `false` while its head is incomplete.
     fn begin_forwarding(&self, state: &mut PipelineState) -> bool {
         if let Some(started) = state.pipeline.next_started() {
             let size_bytes = started.size_bytes;
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -171,13 +171,13 @@
     refusal: QuotaRefusal,
 ) -> Response<BufferedBody> {
     let (status, why) = match refusal {
-        QuotaRefusal::Over { .. } => (StatusCode::TOO_MANY_REQUESTS, "over_quota"),
+        QuotaRefusal::Exceeded { .. } => (StatusCode::TOO_MANY_REQUESTS, "over_quota"),
         QuotaRefusal::NoBorrower => (StatusCode::SERVICE_UNAVAILABLE, "no_keeper"),
     };
     node.metrics.count("refused", why);
     log_over_quota(node, metadata, route, workspace, why, refusal);
     let wait = match refusal {
-        QuotaRefusal::Over { wait_ms, .. } => wait_ms.map(u64::from).map(Duration::from_millis),
+        QuotaRefusal::Exceeded { wait_ms, .. } => wait_ms.map(u64::from).map(Duration::from_millis),
         QuotaRefusal::NoBorrower => None,
     };
     // Tokens that become available earlier are used up by requests that arrive earlier.
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -33,6 +33,7 @@
     node::RoutedNode,
     quotas::{on_loan, on_quota_answer},
 };
+
 /// Largest body that goes over the link for small bodies. Larger ones use a second link, so
 /// that short calls don't wait behind them: at 200 Mbit/s this many bytes take 1.3 ms.
 const SMALL_BODY_BYTES: usize = 32 * 1024;
@@ -59,7 +60,7 @@
 pub(crate) struct Links {
     links: HashMap<(SocketAddr, LinkKind), Rc<Link>>,
     /// Peers whose link was lost and that are being probed until they answer.
-    probed: HashSet<SocketAddr>,
+    probed_peers: HashSet<SocketAddr>,
     last_number: CallNumber,
 }
 
@@ -75,21 +76,21 @@
 pub(crate) struct Link {
     peer: SocketAddr,
     pub(crate) frames: FrameWriter,
-    pending: RefCell<HashMap<CallNumber, Pending>>,
+    pending: RefCell<HashMap<CallNumber, PendingCall>>,
     health: RefCell<LinkHealth>,
     /// Whether the peer has gone silent, so that new calls should use other nodes.
     is_silent: watch::Sender<bool>,
     /// Notified of the first frame from the peer, and of the end of the link.
     activity: Notify,
-    has_heard: Cell<bool>,
+    has_received: Cell<bool>,
     end: Notify,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingCall {
     answer: oneshot::Sender<LinkAnswer>,
     /// When the call was sent, by the clock that includes suspended time.
-    asked: Duration,
+    sent_at: Duration,
     /// Position in the byte stream of the link where the frame ends that lets the call run.
     end_bytes: u64,
     /// Whether the peer may run the call only after this node has committed to it.
@@ -126,11 +127,11 @@
     }
     let (sender, mut receiver) = oneshot::channel();
     let now = node.now();
-    let asked = node.boot_time_at_most(now);
+    let sent_at = node.boot_time_at_most(now);
     let end_bytes = link.frames.push_with(&FrameHead::Call(call), payload);
-    let pending = Pending {
+    let pending = PendingCall {
         answer: sender,
-        asked,
+        sent_at,
         end_bytes,
         needs_commit,
         may_have_run: may_have_run.clone(),
@@ -205,7 +206,7 @@
         health: RefCell::new(LinkHealth::new(node.now())),
         is_silent: watch::Sender::new(false),
         activity: Notify::new(),
-        has_heard: Cell::new(false),
+        has_received: Cell::new(false),
         end: Notify::new(),
     });
     node.links.borrow_mut().links.insert(key, Rc::clone(&link));
@@ -251,7 +252,7 @@
     tokio::select! {
         read = read_frames(read, take) => read,
         written = link.frames.run(write) => written,
-        () = link.end.notified() => Err(io::Error::new(io::ErrorKind::TimedOut, "the peer went silent")),
+        () = link.end.notified() => Err(io::Error::new(io::ErrorKind::TimedOut, "peer is silent")),
     }
 }
 
@@ -304,7 +305,7 @@
     if was_silent {
         node.load_balancer.borrow_mut().mark_reachable(link.peer);
     }
-    if !link.has_heard.replace(true) {
+    if !link.has_received.replace(true) {
         link.activity.notify_waiters();
     }
 }
@@ -322,7 +323,7 @@
 ///
 /// Without probes, each attempt to reach a peer that is cut off would cost a call.
 fn probe_lost_peer(node: &Rc<RoutedNode>, peer: SocketAddr) {
-    if !node.is_on(Mechanism::SilentLinks) || !node.links.borrow_mut().probed.insert(peer) {
+    if !node.is_on(Mechanism::SilentLinks) || !node.links.borrow_mut().probed_peers.insert(peer) {
         return;
     }
     let node = Rc::clone(node);
@@ -333,7 +334,7 @@
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
         node.load_balancer.borrow_mut().mark_reachable(peer);
-        node.links.borrow_mut().probed.remove(&peer);
+        node.links.borrow_mut().probed_peers.remove(&peer);
     });
 }
 
@@ -343,14 +344,14 @@
     let activity = link.activity.notified();
     link.frames.push(&ping_frame(node));
     let _ = tokio::time::timeout(CONNECT_TIMEOUT, activity).await;
-    link.has_heard.get() && !*link.is_silent.borrow()
+    link.has_received.get() && !*link.is_silent.borrow()
 }
 
 fn on_answer(node: &RoutedNode, link: &Link, answer: AnswerHead, payload: Payload) {
     let pending = link.pending.borrow_mut().remove(&answer.number);
     match &pending {
         Some(pending) => {
-            on_follow_answer(node, &link.frames, answer.followed, pending.asked);
+            on_follow_answer(node, &link.frames, answer.followed, pending.sent_at);
         }
         None => on_follow_state(node, &link.frames, answer.followed),
     }
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -46,7 +46,7 @@
     sent_at: Duration,
     /// When the route was last checked for changes.
     checked_at: Duration,
-    /// Count of services that the route was said to lead to.
+    /// Number of services in the demand of the route.
     services_count: usize,
     is_from_outside: bool,
 }
--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -177,7 +177,9 @@
                 let pause = tokio::time::sleep(until.saturating_sub(node.now()));
                 tokio::select! {
                     () = pause => {}
-                    () = node.store_restore.wait() => check_store_restore(&node, &store, &mut bootstrap),
+                    () = node.store_restore.wait() => {
+                        check_store_restore(&node, &store, &mut bootstrap);
+                    }
                 }
             }
             RegisterStep::Done => {
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -42,7 +42,7 @@
     borrowers: Borrowers,
     /// Borrowers that didn't answer, with the time of the last question.
     silent: HashMap<SocketAddr, Duration>,
-    asked: HashMap<u64, oneshot::Sender<QuotaVerdict>>,
+    open_questions: HashMap<u64, oneshot::Sender<QuotaVerdict>>,
     last_number: u64,
 }
 
@@ -52,7 +52,7 @@
             shares: NodeQuotas::new(now),
             borrowers: Borrowers::default(),
             silent: HashMap::new(),
-            asked: HashMap::new(),
+            open_questions: HashMap::new(),
             last_number: 0,
         }
     }
@@ -103,7 +103,7 @@
 pub(crate) enum QuotaRefusal {
     /// The quota is used up. Carries the time until the next token, if that is known, and the
     /// part of the quota in millionths that is lent to the borrower that answered.
-    Over {
+    Exceeded {
         wait_ms: Option<u32>,
         share_millionths: u32,
     },
@@ -115,7 +115,7 @@
     /// Part of the quota that is lent to the borrower that answered last.
     pub(crate) fn share(self) -> f64 {
         match self {
-            Self::Over {
+            Self::Exceeded {
                 share_millionths, ..
             } => f64::from(share_millionths) / 1e6,
             Self::NoBorrower => 0.0,
@@ -175,7 +175,7 @@
                 wait_ms,
                 share_millionths,
             }) if share_millionths > 0 => {
-                refusal = QuotaRefusal::Over {
+                refusal = QuotaRefusal::Exceeded {
                     wait_ms,
                     share_millionths,
                 };
@@ -240,23 +240,27 @@
         let mut quotas = node.quotas.borrow_mut();
         quotas.last_number += 1;
         let number = quotas.last_number;
-        quotas.asked.insert(number, sender);
+        quotas.open_questions.insert(number, sender);
         (Self { node, number }, receiver)
     }
 }
 
 impl Drop for OpenQuestion<'_> {
     fn drop(&mut self) {
-        self.node.quotas.borrow_mut().asked.remove(&self.number);
+        self.node
+            .quotas
+            .borrow_mut()
+            .open_questions
+            .remove(&self.number);
     }
 }
 
 /// Handles the answer of a borrower. An answer that is too late is ignored; its token stays
 /// unused.
 pub(crate) fn on_quota_answer(node: &RoutedNode, number: u64, verdict: QuotaVerdict) {
-    let asked = node.quotas.borrow_mut().asked.remove(&number);
-    if let Some(asked) = asked {
-        let _ = asked.send(verdict);
+    let sender = node.quotas.borrow_mut().open_questions.remove(&number);
+    if let Some(sender) = sender {
+        let _ = sender.send(verdict);
     }
 }
 
@@ -341,21 +345,21 @@
 /// has seen. At the start, or while no other node has reported a count, the estimate from the
 /// register counts too.
 pub(crate) fn nodes_count(node: &RoutedNode) -> Option<usize> {
-    let told_count = node.reported_nodes_count.get();
+    let reported_count = node.reported_nodes_count.get();
     let registered_count = node.register_estimate_count.get();
     let now = node.now();
-    if told_count.max(registered_count) == 0 && now < UNKNOWN_COUNT_TIME {
+    if reported_count.max(registered_count) == 0 && now < UNKNOWN_COUNT_TIME {
         return None;
     }
-    let known_count = node.nodes_count.get().max(told_count);
-    if now < SETTLING_TIME || told_count == 0 {
+    let known_count = node.nodes_count.get().max(reported_count);
+    if now < SETTLING_TIME || reported_count == 0 {
         return Some(known_count.max(registered_count));
     }
     Some(known_count)
 }
 
-/// Borrows quotas from other nodes where this node is a borrower, and keeps the use of its own
-/// parts that nobody has borrowed.
+/// Asks other nodes for loans where this node is a borrower, and makes the parts of its own quota
+/// that nobody has borrowed usable here.
 pub(crate) async fn run_quota_loans(node: Rc<RoutedNode>) {
     loop {
         tokio::time::sleep(LOAN_INTERVAL).await;
--- a/crates/kumquatquayd/src/routed/store_polling.rs
+++ b/crates/kumquatquayd/src/routed/store_polling.rs
@@ -150,9 +150,9 @@
             poller.on_answer(now, read.has_configurations());
             drop(poller);
             if was_unavailable {
-                log::info!(event = "store_regained", unheard_ms = time_since_answer.as_millis() as u64,
-                    took_ms = took_ms, in_force = node.route_version();
-                    "the store answers again");
+                log::info!(event = "store_regained",
+                    unheard_ms = time_since_answer.as_millis() as u64, took_ms = took_ms,
+                    in_force = node.route_version(); "the store answers again");
             }
             let proves = read.is_complete && read.malformed.is_empty();
             let era = read.era;
