--- a/crates/kumquatquay-core/src/routed/backend_liveness.rs
+++ b/crates/kumquatquay-core/src/routed/backend_liveness.rs
@@ -1,57 +1,57 @@
-//! Notices that a backend server has gone silent.
+//! Detects backend servers that don't answer any more.
 
 use std::time::Duration;
 
-/// Silence that is never taken for a fault; a pause of this length happens to any
-/// process.
-const SILENCE_LEAST: Duration = Duration::from_millis(600);
+/// Silence up to this time is no fault, as any process may pause that long.
+const MIN_SILENCE: Duration = Duration::from_millis(600);
 
-/// Mean times to run a call after which silence is a fault. With several calls under
-/// way answers come far more often than once in that time, even from a backend
-/// server that has become several times slower.
-const SILENCE_WORKS: u32 = 5;
+/// Silence of more mean run times than this is a fault.
+///
+/// With several calls in flight, answers come far more often, even from a backend server that has
+/// become several times slower.
+const SILENCE_RUN_TIMES_COUNT: u32 = 5;
 
-/// Calls under way below which silence says nothing.
-const UNDER_WAY_LEAST_COUNT: usize = 2;
+/// Calls that must be in flight for silence to count.
+const MIN_IN_FLIGHT_COUNT: usize = 2;
 
-/// Whether the backend server of this host gives any answers.
+/// Tracks whether the backend server of this host answers at all.
 ///
-/// A host whose process is gone refuses connections at once. One that lost its
-/// power, or whose network part failed, answers nothing: calls to it hang until
-/// their deadlines, hold all slots of the gate and look like pressure to everybody.
+/// A host whose process has ended refuses connections at once. One that lost its power, or whose
+/// network interface failed, doesn't answer: calls to it hang until their deadlines, occupy all
+/// slots of the gate and look like an overload to all callers.
 #[derive(Debug, Default)]
 pub struct BackendLiveness {
-    under_way_count: usize,
-    /// When it last answered, or began to have calls.
-    last_sign: Duration,
+    in_flight_count: usize,
+    /// When something last came from it, or when calls became in flight again.
+    last_activity: Duration,
 }
 
 impl BackendLiveness {
-    /// A call was handed over.
+    /// Records that a call was forwarded.
     pub fn call_started(&mut self, now: Duration) {
-        if self.under_way_count == 0 {
-            self.last_sign = now;
+        if self.in_flight_count == 0 {
+            self.last_activity = now;
         }
-        self.under_way_count += 1;
+        self.in_flight_count += 1;
     }
 
-    /// A call ended; `is_sign` if something came from the backend server.
-    pub fn call_ended(&mut self, now: Duration, is_sign: bool) {
-        self.under_way_count = self.under_way_count.saturating_sub(1);
-        if is_sign {
-            self.last_sign = now;
+    /// Records that a call ended; `is_activity` if something came from the backend server.
+    pub fn call_ended(&mut self, now: Duration, is_activity: bool) {
+        self.in_flight_count = self.in_flight_count.saturating_sub(1);
+        if is_activity {
+            self.last_activity = now;
         }
     }
 
-    /// Something else came from the backend server.
+    /// Records that something else came from the backend server.
     pub fn on_activity(&mut self, now: Duration) {
-        self.last_sign = now;
+        self.last_activity = now;
     }
 
-    /// Whether it is silent; calls take `work` on the mean.
-    pub fn is_silent(&self, now: Duration, work: Duration) -> bool {
-        let patience = SILENCE_LEAST.max(work * SILENCE_WORKS);
-        let silence = now.saturating_sub(self.last_sign);
-        self.under_way_count >= UNDER_WAY_LEAST_COUNT && silence > patience
+    /// Whether it has been silent for too long while calls are in flight.
+    pub fn is_silent(&self, now: Duration, mean_run_time: Duration) -> bool {
+        let limit = MIN_SILENCE.max(mean_run_time * SILENCE_RUN_TIMES_COUNT);
+        let silence = now.saturating_sub(self.last_activity);
+        self.in_flight_count >= MIN_IN_FLIGHT_COUNT && silence > limit
     }
 }
--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -219,9 +219,9 @@
 
     /// Admits a request, or returns the service that has no room for it.
     ///
-    /// `route_priorities` holds the priorities of all routes, for requests without one of their own. Calls of
-    /// backend servers belong to root requests that were admitted already, and are never refused
-    /// here. Requests on routes of which nothing is known are admitted too.
+    /// `route_priorities` holds the priorities of all routes, for requests without one of their
+    /// own. Calls of backend servers belong to root requests that were admitted already, and are
+    /// never refused here. Requests on routes of which nothing is known are admitted too.
     ///
     /// # Errors
     ///
--- a/crates/kumquatquay-core/src/routed/fair_shares.rs
+++ b/crates/kumquatquay-core/src/routed/fair_shares.rs
@@ -1,39 +1,39 @@
-//! Shares what room there is for one rank among those who ask for it.
+//! Fair shares of the room for requests of one priority.
 
 use std::{collections::HashMap, time::Duration};
 
 use kumquatquay_wire::{ServiceName, routed::Priority};
 
-/// Time in which what was asked for counts half.
-const ASKED_HALF_LIFE_S: f64 = 4.0;
+/// Half-life of the demand of a claimant.
+const DEMAND_HALF_LIFE_S: f64 = 4.0;
 
-/// Those who ask that are remembered for one service and rank.
-const CLAIMANTS_LIMIT_COUNT: usize = 1_024;
+/// Limit of the claimants that are tracked for one service and priority.
+const MAX_CLAIMANTS_COUNT: usize = 1_024;
 
-/// Services and ranks that are remembered.
-const GROUPS_LIMIT_COUNT: usize = 256;
+/// Limit of the pairs of service and priority that are tracked.
+const MAX_GROUPS_COUNT: usize = 256;
 
-/// Work below which a claimant is forgotten.
-const FORGOTTEN_WORK: f64 = 0.01;
+/// Demand below which a claimant is dropped when there are too many, in seconds of slot time.
+const MIN_TRACKED_WORK: f64 = 0.01;
 
-/// How long a share that was worked out counts.
-const SHARE_LIFETIME: Duration = Duration::from_millis(50);
+/// How long a computed share is reused.
+const SHARE_TTL: Duration = Duration::from_millis(50);
 
-/// Requests that compete for the room of a service: those of one rank.
+/// Requests that compete for the room of a service: those of one priority.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ShareGroup {
-    /// The service that is short.
+    /// The overloaded service.
     pub service: ServiceName,
-    /// Their rank.
+    /// Priority of the requests.
     pub priority: Priority,
 }
 
-/// Who asked for how much room lately, as one entry has seen it.
+/// Recent demand of each claimant at one entry, for max-min fair shares.
 ///
-/// It answers the pattern in which some workspaces send many times what they usually do, and a
-/// service is short for all. Refused by chance, those who send as always lose the same part of
-/// their requests. By max-min shares everyone gets what it asks for up to a share that is the same
-/// for all, and only what is beyond that is refused.
+/// It protects workspaces from others that send many times their usual load and so overload a
+/// service. With random refusals all of them would lose the same part of their requests. With
+/// max-min fairness each gets what it asks for up to an equal share, and only the excess is
+/// refused.
 #[derive(Debug, Default)]
 pub struct FairShares {
     groups: HashMap<ShareGroup, Group>,
@@ -41,65 +41,65 @@
 
 #[derive(Debug, Default)]
 struct Group {
-    asked: HashMap<String, Asked>,
-    worked_out: Option<WorkedOut>,
-    asked_last: Duration,
+    demands: HashMap<String, Demand>,
+    cached_share: Option<CachedShare>,
+    last_request: Duration,
 }
 
-/// Work that was asked for; what is long ago counts less.
+/// Exponentially decaying demand of a claimant.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Demand {
     work: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct WorkedOut {
+struct CachedShare {
     share: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 impl FairShares {
-    /// Takes in that a claimant asks for room for so much work, and tells the chance that it has
-    /// when the chance of all is `chance`.
+    /// Records a request of a claimant that causes this work, and returns the admission probability
+    /// of the claimant if that of all requests is `admission_probability`.
     ///
-    /// What it asks for now counts against it the less, the more room there is: an entry sees so
-    /// few requests of a calm workspace that each one would look like many. Without any room
-    /// nobody has a chance. Claimants are workspaces, or the routes of callers that belong to
-    /// none.
+    /// The more room there is, the less the work of this request itself counts: an entry sees so
+    /// few requests of a workspace with normal load that each one would look like many. Without
+    /// any room the result is 0. Claimants are workspaces, or routes for callers without a
+    /// workspace.
     pub fn on_request(
         &mut self,
         now: Duration,
         group: &ShareGroup,
         claimant: &str,
         work: f64,
-        chance: f64,
+        admission_probability: f64,
     ) -> f64 {
         if !self.groups.contains_key(group) {
-            self.make_room(now);
+            self.evict_group(now);
             self.groups.insert(group.clone(), Group::default());
         }
         let Some(group) = self.groups.get_mut(group) else {
-            return chance;
+            return admission_probability;
         };
-        group.asked_last = now;
-        let Some(before) = group.ask(now, claimant, work) else {
-            return chance;
+        group.last_request = now;
+        let Some(before) = group.add_demand(now, claimant, work) else {
+            return admission_probability;
         };
-        let counted = before + (1.0 - chance) * work;
-        let share = group.share(now, chance);
-        if counted <= share {
+        let counted_work = before + (1.0 - admission_probability) * work;
+        let share = group.share(now, admission_probability);
+        if counted_work <= share {
             return 1.0;
         }
-        share / counted
+        share / counted_work
     }
 
-    /// Forgets the group that was asked last the longest ago, if there are too many.
-    fn make_room(&mut self, now: Duration) {
-        if self.groups.len() < GROUPS_LIMIT_COUNT {
+    /// Drops the least recently used group if there are too many.
+    fn evict_group(&mut self, now: Duration) {
+        if self.groups.len() < MAX_GROUPS_COUNT {
             return;
         }
-        let age = |group: &Group| now.saturating_sub(group.asked_last);
+        let age = |group: &Group| now.saturating_sub(group.last_request);
         let oldest = self.groups.iter().max_by_key(|(_, group)| age(group));
         if let Some(oldest) = oldest.map(|(key, _)| key.clone()) {
             self.groups.remove(&oldest);
@@ -108,55 +108,58 @@
 }
 
 impl Group {
-    /// What a claimant has asked for before it asks for more; `None` if there are too many of
-    /// them to be told apart.
-    fn ask(&mut self, now: Duration, claimant: &str, work: f64) -> Option<f64> {
-        if let Some(asked) = self.asked.get_mut(claimant) {
-            let before = asked.work_at(now);
-            asked.work = before + work;
-            asked.at = now;
+    /// Adds to the demand of a claimant and returns the demand before; `None` if there are too many
+    /// claimants to track it.
+    fn add_demand(&mut self, now: Duration, claimant: &str, work: f64) -> Option<f64> {
+        if let Some(demand) = self.demands.get_mut(claimant) {
+            let before = demand.work_at(now);
+            demand.work = before + work;
+            demand.updated = now;
             return Some(before);
         }
-        if self.asked.len() >= CLAIMANTS_LIMIT_COUNT {
-            self.asked
-                .retain(|_, asked| asked.work_at(now) >= FORGOTTEN_WORK);
+        if self.demands.len() >= MAX_CLAIMANTS_COUNT {
+            self.demands
+                .retain(|_, demand| demand.work_at(now) >= MIN_TRACKED_WORK);
         }
-        if self.asked.len() >= CLAIMANTS_LIMIT_COUNT {
+        if self.demands.len() >= MAX_CLAIMANTS_COUNT {
             return None;
         }
-        let asked = Asked { work, at: now };
-        self.asked.insert(String::from(claimant), asked);
+        let demand = Demand { work, updated: now };
+        self.demands.insert(String::from(claimant), demand);
         Some(0.0)
     }
 
-    /// What each may have at the most.
-    fn share(&mut self, now: Duration, chance: f64) -> f64 {
-        if let Some(known) = self.worked_out
-            && now < known.at + SHARE_LIFETIME
+    /// Largest demand that is admitted in full.
+    fn share(&mut self, now: Duration, admission_probability: f64) -> f64 {
+        if let Some(cached) = self.cached_share
+            && now < cached.updated + SHARE_TTL
         {
-            return known.share;
+            return cached.share;
         }
-        let asked = self.asked.values().map(|asked| asked.work_at(now));
-        let share = max_min_share(asked.collect(), chance);
-        self.worked_out = Some(WorkedOut { share, at: now });
+        let demands = self.demands.values().map(|demand| demand.work_at(now));
+        let share = max_min_share(demands.collect(), admission_probability);
+        self.cached_share = Some(CachedShare {
+            share,
+            updated: now,
+        });
         share
     }
 }
 
-impl Asked {
+impl Demand {
     fn work_at(self, now: Duration) -> f64 {
-        let passed_s = now.saturating_sub(self.at).as_secs_f64();
-        self.work * 0.5_f64.powf(passed_s / ASKED_HALF_LIFE_S)
+        let passed_s = now.saturating_sub(self.updated).as_secs_f64();
+        self.work * 0.5_f64.powf(passed_s / DEMAND_HALF_LIFE_S)
     }
 }
 
-/// The share up to which everyone gets what it asks for, such that all together get the given
-/// part.
-fn max_min_share(mut asked: Vec<f64>, part: f64) -> f64 {
-    asked.sort_by(f64::total_cmp);
-    let mut room = part * asked.iter().sum::<f64>();
-    let mut left_count = asked.len() as f64;
-    for work in asked {
+/// The max-min fair share: if each demand is capped at it, the sum is `admitted_ratio` of all
+/// demand.
+fn max_min_share(mut demands: Vec<f64>, admitted_ratio: f64) -> f64 {
+    demands.sort_by(f64::total_cmp);
+    let mut room = admitted_ratio * demands.iter().sum::<f64>();
+    let mut left_count = demands.len() as f64;
+    for work in demands {
         let equal = room / left_count;
         if work >= equal {
             return equal;
--- a/crates/kumquatquay-core/src/routed/gate_retries.rs
+++ b/crates/kumquatquay-core/src/routed/gate_retries.rs
@@ -1,74 +1,74 @@
-//! Which calls a gate hands over once more after they were turned away.
+//! Retries at a gate of calls that the backend server rejected.
 
 use std::time::Duration;
 
 use super::RetryBudget;
 
-/// Hand-overs of one call at one gate, at most. With 55 of 100 turned away, 98 calls
-/// of 100 are served by the seventh; each one costs 1 ms.
-const HAND_OVERS_LIMIT_COUNT: u32 = 7;
+/// Limit of the attempts of one call at one gate.
+///
+/// If 55 % are rejected, 98 % of the calls are served within seven attempts; each costs 1 ms.
+const MAX_ATTEMPTS_COUNT: u32 = 7;
 
-/// Share of turned away calls above which only calls of people are repeated.
+/// Share of rejected calls from which on only calls from outside are retried.
 ///
-/// A run that makes eight calls needs all of them. With a quarter turned away it
-/// takes 2.7 repeats for each such run, and the budget of a fifth is 1.6: more runs
-/// would be lost in the end than saved, and the budget with them.
-const INNER_RATIO: f64 = 0.25;
+/// A run that makes eight calls needs all of them. With a quarter rejected it takes 2.7 retries
+/// per run, while a retry budget of a fifth allows 1.6: more runs would be lost than saved, and
+/// the budget would be spent on them.
+const MAX_INNER_REJECTED_RATIO: f64 = 0.25;
 
-/// Weight of the newest result against those before.
+/// Weight of a new result in the moving average of rejections.
 const NEW_WEIGHT: f64 = 0.02;
 
-/// Decides whether a call that the backend server turned away, unrun, is handed over
-/// to it again.
+/// Decides whether a call that the backend server rejected without running it is sent to it
+/// again.
 ///
-/// It answers the pattern in which backend servers shed a share of what arrives
-/// though they have slots, all of a service alike. Asking another one costs a way
-/// through the network and finds the same; and a node that sends few calls has next
-/// to no budget for repeats, while the gates see all calls of their service and can
-/// spend the budget where one repeat saves a whole request.
+/// It is meant for services whose backend servers all shed a share of their calls although they
+/// have slots. A retry at another backend server costs a network round trip and meets the same
+/// share. A node that sends few calls has hardly any retry budget, while a gate sees all calls to
+/// its backend server and can spend the budget where one retry saves a root request.
 #[derive(Debug)]
 pub struct GateRetries {
-    window: RetryBudget,
-    turned_away_ratio: f64,
+    budget: RetryBudget,
+    rejected_ratio: f64,
 }
 
-/// A call that was turned away.
+/// A call that the backend server rejected without running it.
 #[derive(Clone, Copy, Debug)]
 pub struct RejectedCall {
-    /// Whether a person sent it; otherwise a run makes it, mostly one of several.
+    /// Whether it comes from outside; otherwise a run makes it, usually as one of several calls.
     pub is_from_outside: bool,
-    /// How often it was handed over.
+    /// Attempts so far at this gate.
     pub attempts_count: u32,
 }
 
 impl GateRetries {
-    /// Repeats within this gate's part of the retry budget.
-    pub fn new(window: RetryBudget) -> Self {
+    /// Creates retries within this gate's part of the retry budget.
+    pub fn new(budget: RetryBudget) -> Self {
         Self {
-            window,
-            turned_away_ratio: 0.0,
+            budget,
+            rejected_ratio: 0.0,
         }
     }
 
-    /// A call is handed over for the first time.
+    /// Records the first attempt of a call.
     pub fn on_first_attempt(&mut self, now: Duration) {
-        self.window.on_requests(now, 1.0);
+        self.budget.on_requests(now, 1.0);
     }
 
-    /// The backend server took a call or turned it away.
-    pub fn on_result(&mut self, is_turned_away: bool) {
-        let observed = f64::from(u8::from(is_turned_away));
-        self.turned_away_ratio += NEW_WEIGHT * (observed - self.turned_away_ratio);
+    /// Records whether the backend server rejected a call.
+    pub fn on_result(&mut self, is_rejected: bool) {
+        let observed = f64::from(u8::from(is_rejected));
+        self.rejected_ratio += NEW_WEIGHT * (observed - self.rejected_ratio);
     }
 
-    /// Whether a call is handed over again; it then counts as a repeat.
+    /// Whether a call is to be retried; the retry is then taken out of the budget.
     pub fn try_retry(&mut self, now: Duration, call: RejectedCall) -> bool {
-        let is_worth_it = call.is_from_outside || self.turned_away_ratio < INNER_RATIO;
-        let may = call.attempts_count < HAND_OVERS_LIMIT_COUNT && is_worth_it;
-        if !may || !self.window.has_room(now, 1.0) {
+        let is_worthwhile = call.is_from_outside || self.rejected_ratio < MAX_INNER_REJECTED_RATIO;
+        let is_allowed = call.attempts_count < MAX_ATTEMPTS_COUNT && is_worthwhile;
+        if !is_allowed || !self.budget.has_room(now, 1.0) {
             return false;
         }
-        self.window.on_retries(now, 1.0);
+        self.budget.on_retries(now, 1.0);
         true
     }
 }
--- a/crates/kumquatquay-core/src/routed/held_answers.rs
+++ b/crates/kumquatquay-core/src/routed/held_answers.rs
@@ -1,17 +1,16 @@
-//! Answers that are held for callers who have not read them.
+//! Memory of answers that are held until their callers have read them.
 
-/// Part of a node's memory that held answers may take before no request is started ahead of its
-/// turn.
-const EARLY_RATIO: f64 = 0.1;
+/// Share of the memory of a node from which on held answers stop the start of pipelined requests.
+const PIPELINED_RATIO: f64 = 0.1;
 
-/// Part of a node's memory that answers may take before no request is taken any more.
+/// Share of the memory of a node from which on held answers stop all requests.
 const FULL_RATIO: f64 = 0.25;
 
-/// Bytes of answers that a node holds, from their arrival until they are written.
+/// Bytes of answers that a node holds, from their arrival until they are written to callers.
 ///
-/// It answers the pattern in which callers ask for large answers and read them slowly, or not
-/// at all. What they left unread would fill the memory, and the node with all its callers
-/// would end. Before that, requests are refused while it is sure that they have not run.
+/// It protects the node from callers that request large answers and read them slowly or not at
+/// all: unread answers would use up its memory, and the node would fail for all callers. Requests
+/// are refused before that, while it is certain that they haven't run.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldAnswers {
     memory_bytes: usize,
@@ -19,7 +18,7 @@
 }
 
 impl HeldAnswers {
-    /// Nothing is held by a node with so much memory.
+    /// Creates the count for a node with this much memory.
     pub fn new(memory_bytes: usize) -> Self {
         Self {
             memory_bytes,
@@ -27,33 +26,33 @@
         }
     }
 
-    /// An answer is there.
+    /// Adds an answer that has arrived.
     pub fn add(&mut self, bytes: usize) {
         self.held_bytes = self.held_bytes.saturating_add(bytes);
     }
 
-    /// An answer was written, or given up.
+    /// Removes an answer that was written or dropped.
     pub fn remove(&mut self, bytes: usize) {
         self.held_bytes = self.held_bytes.saturating_sub(bytes);
     }
 
-    /// Bytes that are held.
+    /// Bytes of all held answers.
     pub fn bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// The longest answer that is taken.
+    /// Size of the longest answer that is accepted, in bytes.
     pub fn answer_limit_bytes(&self) -> usize {
         (self.memory_bytes as f64 * FULL_RATIO) as usize
     }
 
-    /// Whether a request may be taken whose turn it is.
+    /// Whether there is room for the next request of a connection.
     pub fn has_room(&self) -> bool {
         self.held_bytes < self.answer_limit_bytes()
     }
 
-    /// Whether a request may be started whose answer will have to wait for others.
+    /// Whether there is room for a pipelined request, whose answer has to wait for those before it.
     pub fn has_room_for_pipelined(&self) -> bool {
-        (self.held_bytes as f64) < self.memory_bytes as f64 * EARLY_RATIO
+        (self.held_bytes as f64) < self.memory_bytes as f64 * PIPELINED_RATIO
     }
 }
--- a/crates/kumquatquay-core/src/routed/level_controller.rs
+++ b/crates/kumquatquay-core/src/routed/level_controller.rs
@@ -106,9 +106,9 @@
 impl LevelController {
     /// Records that a call arrived at the gate, whether or not it is accepted.
     ///
-    /// `caller_level` is the level of the service as known by the caller. A call that is refused by
-    /// several gates counts at each of them: it stands for the further calls that its run would have
-    /// made and now doesn't make.
+    /// `caller_level` is the level of the service as known by the caller. A call that is refused
+    /// by several gates counts at each of them: it stands for the further calls that its run
+    /// would have made and now doesn't make.
     pub fn on_arrival(&mut self, caller_level: f64, run_time: Duration) {
         self.add_work(run_time);
         self.caller_levels_sum += caller_level;
--- a/crates/kumquatquay-core/src/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/src/routed/load_balancer.rs
@@ -171,7 +171,8 @@
 
     /// Replaces the endpoints by those of the current members.
     ///
-    /// The state of an endpoint is kept if its life, its peer address and its service are unchanged.
+    /// The state of an endpoint is kept if its life, its peer address and its service are
+    /// unchanged.
     pub fn rebuild<'a>(
         &mut self,
         own_data_centre: &str,
--- a/crates/kumquatquay-core/src/routed/machine_slowdown.rs
+++ b/crates/kumquatquay-core/src/routed/machine_slowdown.rs
@@ -1,40 +1,45 @@
-//! How fast the machine of a backend server works at this moment.
+//! Slowdown of the machine of a backend server.
 
 use std::time::Duration;
 
-/// Age at which what was told says nothing any more: a machine that is shared changes its
-/// pace many times a second.
-const LIFETIME: Duration = Duration::from_secs(1);
+/// Age at which a report expires; the speed of a shared machine changes many times a second.
+const REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// The least time of work over its usual one that makes sense.
-const LEAST_RATIO: f64 = 0.01;
+/// Smallest plausible slowdown.
+const MIN_RATIO: f64 = 0.01;
 
-/// The longest time of work over its usual one that makes sense.
-const MOST_RATIO: f64 = 60.0;
+/// Largest plausible slowdown.
+const MAX_RATIO: f64 = 60.0;
 
-/// What a backend server told last of its machine.
+/// Last slowdown that the backend server reported: the ratio of the run time of work to its usual
+/// run time.
 #[derive(Debug, Default)]
 pub struct MachineSlowdown {
-    told: Option<Told>,
+    report: Option<SlowdownReport>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    at: Duration,
+struct SlowdownReport {
+    reported_at: Duration,
     ratio: f64,
 }
 
 impl MachineSlowdown {
-    /// Takes in how long work takes over its usual time; a senseless figure is passed over.
+    /// Records a reported slowdown; implausible values are ignored.
     pub fn on_report(&mut self, now: Duration, ratio: f64) {
-        if (LEAST_RATIO..=MOST_RATIO).contains(&ratio) {
-            self.told = Some(Told { at: now, ratio });
+        if (MIN_RATIO..=MAX_RATIO).contains(&ratio) {
+            self.report = Some(SlowdownReport {
+                reported_at: now,
+                ratio,
+            });
         }
     }
 
-    /// How long work takes over its usual time, while that is known.
+    /// The slowdown, if a report is recent enough.
     pub fn ratio(&self, now: Duration) -> Option<f64> {
-        let told = self.told.filter(|told| now < told.at + LIFETIME);
-        told.map(|told| told.ratio)
+        let report = self
+            .report
+            .filter(|report| now < report.reported_at + REPORT_TTL);
+        report.map(|report| report.ratio)
     }
 }
--- a/crates/kumquatquay-core/src/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/src/routed/server_rate_limit.rs
@@ -81,9 +81,9 @@
 
     /// Updates the limit from an answer of this life, to a run that began at `began`.
     ///
-    /// An answer without a limit lifts it only if its run began after the limit was last advertised.
-    /// Answers to long runs may be read late, and one that was written before the server began to
-    /// advertise its limit must not lift it. A malformed limit is ignored.
+    /// An answer without a limit lifts it only if its run began after the limit was last
+    /// advertised. Answers to long runs may be read late, and one that was written before the
+    /// server began to advertise its limit must not lift it. A malformed limit is ignored.
     pub fn on_answer(
         &mut self,
         now: Duration,
@@ -109,9 +109,9 @@
 
     /// Updates the limit from what a caller knows of this life.
     ///
-    /// A node that restarts knows no limit until the first answer, and may have forwarded the full
-    /// load by then; its callers still know the limit. What callers know is ignored once the backend
-    /// server itself has answered here.
+    /// A node that restarts knows no limit until the first answer, and may have forwarded the
+    /// full load by then; its callers still know the limit. What callers know is ignored once the
+    /// backend server itself has answered here.
     pub fn on_caller_report(
         &mut self,
         now: Duration,
