--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -235,7 +235,7 @@
         let Some(route) = self.routes.get_mut(request.route) else {
             return Ok(());
         };
-        route.offered.offer(now, request.priority);
+        route.offered.on_request(now, request.priority);
         let news = self.known_at(now, request.route, request.service);
         let Some(news) = news.filter(|news| news.is_from_outside) else {
             return Ok(());
@@ -292,12 +292,12 @@
                 continue;
             };
             let work_s = self.request_work_s(now, levels, service);
-            for offered in levels.offered.ranks(now, priority) {
+            for offered in levels.offered.priorities(now, priority) {
                 let load = work_s * offered.requests_count;
                 all += load;
-                if offered.rank < request.priority {
+                if offered.priority < request.priority {
                     higher += load;
-                } else if offered.rank == request.priority {
+                } else if offered.priority == request.priority {
                     same += load;
                 }
             }
--- a/crates/kumquatquay-core/src/routed/mechanisms.rs
+++ b/crates/kumquatquay-core/src/routed/mechanisms.rs
@@ -1,87 +1,88 @@
-//! Mechanisms that decide, each of which can be switched off.
+//! Mechanisms for calls on routes, each of which can be disabled.
 
 use std::str::FromStr;
 
 use derive_more::{Display, Error};
 
-/// A mechanism that decides about calls on routes.
+/// A mechanism that takes part in the decisions on calls on routes.
 ///
-/// Each can be switched off by itself, to measure what it is worth.
+/// Each can be disabled on its own to measure its effect. The displayed names are those of the
+/// `--with` and `--without` flags.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Mechanism {
-    /// Whole requests are refused at the entry while a service on their way is short.
+    /// Refuse root requests at the entry while a service that they reach is overloaded.
     #[display("entry-levels")]
     EntryLevels,
-    /// What is known of runs is kept while the calls that they make fail.
+    /// Retain the learnt call graph of a route while calls of its runs fail.
     #[display("kept-graph")]
     KeptGraph,
-    /// Calls are put to the runs whose deadlines they share.
+    /// Attribute calls to the runs with the same deadline.
     #[display("traced-calls")]
     TracedCalls,
-    /// Calls wait at gates by the rank of the whole request that they belong to.
+    /// Order waiting calls at gates by the priority of their root request too.
     #[display("whole-order")]
     RequestPriority,
-    /// A gate hands over more calls for those on their way.
+    /// Let a gate exceed its concurrency limit by the calls in transit.
     #[display("transit")]
     TransitAllowance,
-    /// A call that was turned away is handed over again at its gate.
+    /// Retry a rejected call at its gate.
     #[display("gate-repeats")]
     GateRetries,
-    /// A second attempt is made beside one that hangs.
+    /// Make a second attempt while the first one hangs.
     #[display("beside")]
     HedgedAttempts,
-    /// A backend server that gives no answers is taken to be dead.
+    /// Treat a backend server that doesn't answer as dead.
     #[display("silent-backend")]
     SilentBackend,
-    /// A link without a sign of life is avoided.
+    /// Avoid links from which nothing is received.
     #[display("silent-links")]
     SilentLinks,
-    /// A call that may run once at most is handed over once its sender commits to it.
+    /// Forward a call that must run at most once only after its sender has committed to it.
     #[display("commit")]
     Commit,
-    /// Crowded backend servers are compared by fill.
+    /// Penalise crowded backend servers in load balancing by their fill.
     #[display("crowding")]
     Crowding,
-    /// A backend server that hasn't told its work is taken to be like its peers.
+    /// Assume the mean run time of its peers for a backend server that hasn't reported its own.
     #[display("peer-work")]
     PeerRunTime,
-    /// A node that starts asks its backend server how it is, before that reports.
+    /// Check the health of the backend server when the node starts, before its first report.
     #[display("first-look")]
     InitialHealthCheck,
-    /// A backend server of the own data centre that is far slower than others is passed by.
+    /// Consider remote backend servers when the local ones are far slower.
     #[display("slow-near")]
     SlowLocalSpillover,
-    /// A node that stops goes on taking calls for its backend server at first.
+    /// Accept calls for the backend server for a while after the node was requested to stop.
     #[display("late-leaving")]
     DelayedShutdown,
-    /// A backend server that fails more than its peers is left nearly alone.
+    /// Eject backend servers that fail more than their peers, apart from probes.
     #[display("out-of-line")]
     OutlierEjection,
-    /// What nodes own of the quotas of workspaces is lent to keepers.
+    /// Lend the shares that nodes own of workspace quotas to borrowers.
     #[display("quota-loans")]
     QuotaLoans,
-    /// Refused callers are asked back the later, the longer a shortage has lasted.
+    /// Increase the retry delay of refused callers with the duration of the overload.
     #[display("late-return")]
     GrowingRetryAfter,
-    /// Requests that a caller sends before the first is answered run beside it.
+    /// Run pipelined HTTP requests of a caller concurrently.
     #[display("pipelining")]
     Pipelining,
-    /// Load is counted as the slot time that calls of each route take.
+    /// Measure load as the slot time of the calls of each route, instead of as a count of calls.
     #[display("work-load")]
     WorkBasedLoad,
-    /// At a gate, calls that can't be in time any more come after those of their rank that can.
+    /// Run late calls at a gate after those of the same priority that can meet their soft deadline.
     #[display("late-last")]
     LateLast,
-    /// Requests that can wait are held at the entry until there is room for them.
+    /// Hold requests that can wait at the entry until there is room for them.
     #[display("entry-hold")]
     EntryHold,
-    /// What room there is for one rank is shared by what each workspace asks for.
+    /// Divide the room for a priority among workspaces by max-min fairness.
     #[display("fair-shares")]
     FairShares,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 23] = [
         Self::EntryLevels,
         Self::KeptGraph,
@@ -108,19 +109,19 @@
         Self::FairShares,
     ];
 
-    /// Mechanisms that are off unless they are switched on.
+    /// Mechanisms that are disabled unless they are requested.
     pub const OFF_BY_DEFAULT: [Self; 2] = [Self::EntryHold, Self::FairShares];
 
-    fn bit(self) -> u32 {
+    fn mask(self) -> u32 {
         1 << self as u32
     }
 }
 
-/// A name that is no mechanism's.
+/// The name of an unknown mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
-#[display("{name:?} is no mechanism; there are {}", Mechanism::ALL.map(|known| known.to_string()).join(", "))]
+#[display("unknown mechanism {name:?}, expected one of {}", Mechanism::ALL.map(|known| known.to_string()).join(", "))]
 pub struct UnknownMechanism {
-    /// The name.
+    /// Name as it was given.
     pub name: String,
 }
 
@@ -137,7 +138,7 @@
     }
 }
 
-/// Which mechanisms are on; all but those that are off by default, unless something else was asked for.
+/// Set of enabled mechanisms; by default all but [`Mechanism::OFF_BY_DEFAULT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
     off: u32,
@@ -150,26 +151,26 @@
 }
 
 impl Mechanisms {
-    /// These beside those that are on.
+    /// Enables these mechanisms.
     pub fn with(self, on: impl IntoIterator<Item = Mechanism>) -> Self {
         Self {
             off: on
                 .into_iter()
-                .fold(self.off, |off, mechanism| off & !mechanism.bit()),
+                .fold(self.off, |off, mechanism| off & !mechanism.mask()),
         }
     }
 
-    /// Those that are on but for these.
+    /// Disables these mechanisms.
     pub fn without(self, off: impl IntoIterator<Item = Mechanism>) -> Self {
         Self {
             off: off
                 .into_iter()
-                .fold(self.off, |off, mechanism| off | mechanism.bit()),
+                .fold(self.off, |off, mechanism| off | mechanism.mask()),
         }
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub fn is_on(self, mechanism: Mechanism) -> bool {
-        self.off & mechanism.bit() == 0
+        self.off & mechanism.mask() == 0
     }
 }
--- a/crates/kumquatquay-core/src/routed/offered_load.rs
+++ b/crates/kumquatquay-core/src/routed/offered_load.rs
@@ -1,116 +1,129 @@
-//! Counts the requests that are offered on a route.
+//! Decaying counts of the requests that are offered on a route.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use kumquatquay_wire::routed::Priority;
 
-/// Ranks that are told apart on one route.
-const RANKS_LIMIT_COUNT: usize = 64;
+/// Number of priorities of one route above which those without recent requests are dropped.
+const MAX_PRIORITIES_COUNT: usize = 64;
 
-/// Time over which requests are counted, in seconds: they fade to a third in it.
-const SHORT_S: f64 = 2.9;
+/// Time constant of the short count, in seconds.
+const SHORT_TIME_S: f64 = 2.9;
 
-/// The same for the count that holds while the load stays as it is. An entry of many sees few
-/// requests of a kind, so a short count is mostly noise.
-const LONG_S: f64 = 20.0;
+/// Time constant of the long count, in seconds, which is used while the load is steady.
+///
+/// One of many entries sees few requests of a kind, so a short count is mostly noise.
+const LONG_TIME_S: f64 = 20.0;
 
-/// Standard errors by which the short count may differ from the long one until it goes before it.
-const CHANGED_ERRORS: f64 = 2.5;
+/// Standard errors by which the short count must differ from the long one to be used instead.
+const CHANGE_THRESHOLD_ERRORS_COUNT: f64 = 2.5;
 
-/// Requests of each route that are taken as offered from the first moment on, so
-/// that the first few don't decide the shares alone.
-const FIRST_COUNT: f64 = 0.5;
+/// Initial count of each route, so that its first few requests don't determine the shares alone.
+const INITIAL_COUNT: f64 = 0.5;
 
-/// Requests offered on a route, by their rank, in a count that fades.
+/// Decaying counts of the requests offered on a route, by priority.
 ///
-/// Only their proportion to those of other routes counts.
+/// Only their ratio to the counts of other routes is used.
 #[derive(Debug, Default)]
 pub(super) struct OfferedLoad {
-    ranks: BTreeMap<Priority, Offered>,
+    priorities: BTreeMap<Priority, RequestCounts>,
 }
 
-/// Requests of one rank.
+/// Count of the requests of one priority.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RankLoad {
-    pub(super) rank: Priority,
+pub(super) struct PriorityLoad {
+    pub(super) priority: Priority,
     pub(super) requests_count: f64,
 }
 
-/// Two counts that fade with time.
+/// Two counts that decay exponentially.
 #[derive(Clone, Copy, Debug)]
-struct Offered {
-    short: f64,
-    long: f64,
-    /// When the first came.
+struct RequestCounts {
+    short_count: f64,
+    long_count: f64,
+    /// When the first request was counted.
     since: Duration,
-    at: Duration,
+    updated: Duration,
 }
 
 impl OfferedLoad {
-    /// Takes in a request.
-    pub(super) fn offer(&mut self, now: Duration, rank: Priority) {
-        if !self.ranks.contains_key(&rank) && self.ranks.len() >= RANKS_LIMIT_COUNT {
-            self.ranks
-                .retain(|_, offered| offered.at(now) > FIRST_COUNT);
+    /// Counts a request.
+    pub(super) fn on_request(&mut self, now: Duration, priority: Priority) {
+        if !self.priorities.contains_key(&priority) && self.priorities.len() >= MAX_PRIORITIES_COUNT
+        {
+            self.priorities
+                .retain(|_, counts| counts.count_at(now) > INITIAL_COUNT);
         }
-        self.ranks
-            .entry(rank)
-            .or_insert_with(|| Offered::since(now))
+        self.priorities
+            .entry(priority)
+            .or_insert_with(|| RequestCounts::new(now))
             .add(now);
     }
 
-    /// Requests offered, by rank; the few of the first moment have the rank of the route.
-    pub(super) fn ranks(
+    /// Counts by priority; before the first request, the initial count with the priority of the
+    /// route.
+    pub(super) fn priorities(
         &self,
         now: Duration,
-        route_rank: Priority,
-    ) -> impl Iterator<Item = RankLoad> {
-        let first = self.ranks.is_empty().then_some(RankLoad {
-            rank: route_rank,
-            requests_count: FIRST_COUNT,
-        });
-        let offered = self.ranks.iter().map(move |(rank, offered)| RankLoad {
-            rank: *rank,
-            requests_count: offered.at(now),
+        route_priority: Priority,
+    ) -> impl Iterator<Item = PriorityLoad> {
+        let initial = self.priorities.is_empty().then_some(PriorityLoad {
+            priority: route_priority,
+            requests_count: INITIAL_COUNT,
         });
-        first.into_iter().chain(offered)
+        let counts = self
+            .priorities
+            .iter()
+            .map(move |(priority, counts)| PriorityLoad {
+                priority: *priority,
+                requests_count: counts.count_at(now),
+            });
+        initial.into_iter().chain(counts)
     }
 }
 
-impl Offered {
-    fn since(now: Duration) -> Self {
+impl RequestCounts {
+    fn new(now: Duration) -> Self {
         Self {
-            short: FIRST_COUNT,
-            long: 0.0,
+            short_count: INITIAL_COUNT,
+            long_count: 0.0,
             since: now,
-            at: now,
+            updated: now,
         }
     }
 
-    /// Requests of the last seconds, by the long count unless the load has changed.
-    fn at(&self, now: Duration) -> f64 {
-        let short = FIRST_COUNT.max(self.short * fade(now, self.at, SHORT_S));
+    /// Requests within [`SHORT_TIME_S`], estimated from the long count unless the load has changed.
+    fn count_at(&self, now: Duration) -> f64 {
+        let short_count =
+            INITIAL_COUNT.max(self.short_count * decay(now, self.updated, SHORT_TIME_S));
         let age_s = now.saturating_sub(self.since).as_secs_f64();
-        if age_s < SHORT_S {
-            return short;
+        if age_s < SHORT_TIME_S {
+            return short_count;
+        }
+        let counted_s = LONG_TIME_S * (1.0 - (-age_s / LONG_TIME_S).exp());
+        let expected_count =
+            SHORT_TIME_S * self.long_count * decay(now, self.updated, LONG_TIME_S) / counted_s;
+        // A decaying count has the standard error of half as many requests.
+        let standard_error = (expected_count / 2.0).sqrt();
+        let has_changed = (short_count - expected_count).abs()
+            > CHANGE_THRESHOLD_ERRORS_COUNT * standard_error + INITIAL_COUNT;
+        if has_changed {
+            short_count
+        } else {
+            expected_count
         }
-        let counted_s = LONG_S * (1.0 - (-age_s / LONG_S).exp());
-        let usual = SHORT_S * self.long * fade(now, self.at, LONG_S) / counted_s;
-        // The error of a count that fades is that of half as many.
-        let error = (usual / 2.0).sqrt();
-        let has_changed = (short - usual).abs() > CHANGED_ERRORS * error + FIRST_COUNT;
-        if has_changed { short } else { usual }
     }
 
     fn add(&mut self, now: Duration) {
-        self.short = FIRST_COUNT.max(self.short * fade(now, self.at, SHORT_S)) + 1.0;
-        self.long = self.long * fade(now, self.at, LONG_S) + 1.0;
-        self.at = now;
+        self.short_count =
+            INITIAL_COUNT.max(self.short_count * decay(now, self.updated, SHORT_TIME_S)) + 1.0;
+        self.long_count = self.long_count * decay(now, self.updated, LONG_TIME_S) + 1.0;
+        self.updated = now;
     }
 }
 
-/// What is left of a count of this moment.
-fn fade(now: Duration, at: Duration, fades_s: f64) -> f64 {
-    let passed_s = now.saturating_sub(at).as_secs_f64();
-    (-passed_s / fades_s).exp()
+/// Factor by which a count has decayed.
+fn decay(now: Duration, updated: Duration, time_constant_s: f64) -> f64 {
+    let passed_s = now.saturating_sub(updated).as_secs_f64();
+    (-passed_s / time_constant_s).exp()
 }
--- a/crates/kumquatquay-core/src/routed/outlier_detector.rs
+++ b/crates/kumquatquay-core/src/routed/outlier_detector.rs
@@ -1,81 +1,86 @@
-//! Finds the backend servers of a service that fail more than the others.
+//! Outlier detection: finds the backend servers of a service that fail more than their peers.
 
 use std::{collections::HashSet, net::SocketAddr};
 
 use kumquatquay_wire::ServiceName;
 
-/// Share of failed runs, beyond that of the middle one of its service, from which on a
-/// backend server is left nearly alone, and below which it is called again.
-const OUT_RATIO: f64 = 0.2;
-const BACK_RATIO: f64 = 0.1;
+/// Excess of the share of failed runs over the median of the service from which on a backend server
+/// is ejected, and below which it is readmitted.
+const EJECTION_RATIO: f64 = 0.2;
+const READMISSION_RATIO: f64 = 0.1;
 
-/// One of so many backend servers of a service may be left nearly alone; one of fewer, too.
-const LEFT_ALONE_ONE_OF: usize = 3;
+/// One of this many backend servers of a service may be ejected, and one of two.
+const EJECTED_ONE_OF_COUNT: usize = 3;
 
-/// A backend server is left nearly alone from now on, or called again.
+/// The ejection or readmission of a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutlierChange {
     /// Its service.
     pub service: ServiceName,
-    /// Control address of the node beside it.
+    /// Control address of the node of its host.
     pub control: SocketAddr,
-    /// Whether it is left nearly alone.
+    /// Whether it is ejected from now on.
     pub is_ejected: bool,
-    /// Share of its last runs that failed by its own doing.
+    /// Share of its recent runs that failed by its own fault.
     pub failed_ratio: f64,
-    /// That of the middle one of its service.
+    /// Median of these shares over the backend servers of the service.
     pub median_ratio: f64,
 }
 
-/// The backend servers of one service that fail far more runs than the others.
+/// Ejected backend servers of one service: those that fail far more runs than their peers.
 ///
-/// A run of eight calls needs all of them: with one server of eight failing each call, a third
-/// of such runs is left. Where all fail alike the cause isn't theirs, and the others
-/// couldn't carry their load: so one of three at the most is left out, and only for what it
-/// fails beyond the middle one.
+/// A run of eight calls needs all of them: if one of eight backend servers fails every call, only a
+/// third of such runs succeeds. If all fail alike, the cause lies elsewhere, and the rest couldn't
+/// take over their load. So at most one of three is ejected, and only for its excess over the
+/// median.
 #[derive(Debug, Default)]
 pub(super) struct OutlierDetector {
-    controls: HashSet<SocketAddr>,
+    ejected_controls: HashSet<SocketAddr>,
 }
 
 impl OutlierDetector {
     pub(super) fn contains(&self, control: SocketAddr) -> bool {
-        self.controls.contains(&control)
+        self.ejected_controls.contains(&control)
     }
 
-    /// Takes in the share of failed runs of each backend server of the service; what changes.
+    /// Updates the ejected backend servers from the share of failed runs of each backend server of
+    /// the service, and returns the changes.
     pub(super) fn refresh(
         &mut self,
         service: &str,
-        told: &[(SocketAddr, f64)],
+        failed_ratios: &[(SocketAddr, f64)],
     ) -> Vec<OutlierChange> {
-        let mut worst_first = told.to_vec();
+        let mut worst_first = failed_ratios.to_vec();
         worst_first.sort_by(|a, b| b.1.total_cmp(&a.1));
-        let Some((_, middle_ratio)) = worst_first.get(told.len() / 2).copied() else {
-            self.controls.clear();
+        let Some((_, median_ratio)) = worst_first.get(failed_ratios.len() / 2).copied() else {
+            self.ejected_controls.clear();
             return Vec::new();
         };
-        let limit_count = match told.len() {
+        let max_ejected_count = match failed_ratios.len() {
             0 | 1 => 0,
-            count => (count / LEFT_ALONE_ONE_OF).max(1),
+            count => (count / EJECTED_ONE_OF_COUNT).max(1),
         };
-        let out = worst_first.into_iter().filter(|(control, ratio)| {
-            let beyond = ratio - middle_ratio;
-            beyond >= OUT_RATIO || (beyond >= BACK_RATIO && self.contains(*control))
+        let ejected = worst_first.into_iter().filter(|(control, ratio)| {
+            let excess_ratio = ratio - median_ratio;
+            excess_ratio >= EJECTION_RATIO
+                || (excess_ratio >= READMISSION_RATIO && self.contains(*control))
         });
-        let out: HashSet<SocketAddr> = out.take(limit_count).map(|(control, _)| control).collect();
-        let changed = told
+        let ejected: HashSet<SocketAddr> = ejected
+            .take(max_ejected_count)
+            .map(|(control, _)| control)
+            .collect();
+        let changed = failed_ratios
             .iter()
-            .filter(|(control, _)| out.contains(control) != self.contains(*control));
+            .filter(|(control, _)| ejected.contains(control) != self.contains(*control));
         let changes = changed.map(|(control, failed_ratio)| OutlierChange {
             service: ServiceName::from(service),
             control: *control,
-            is_ejected: out.contains(control),
+            is_ejected: ejected.contains(control),
             failed_ratio: *failed_ratio,
-            median_ratio: middle_ratio,
+            median_ratio,
         });
         let changes = changes.collect();
-        self.controls = out;
+        self.ejected_controls = ejected;
         changes
     }
 }
--- a/crates/kumquatquay-core/src/routed/retry_budget.rs
+++ b/crates/kumquatquay-core/src/routed/retry_budget.rs
@@ -1,85 +1,90 @@
-//! Limits what a node sends once more.
+//! Retry budget over a sliding window.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Parts of the window; what leaves it leaves a tenth at a time.
-const PARTS_COUNT: u32 = 10;
+/// Number of buckets in the window, of which one expires at a time.
+const BUCKETS_COUNT: u32 = 10;
 
-/// Requests and repeats of one service within a sliding window.
+/// Requests and retries of one service within a sliding window.
 ///
-/// All nodes share one budget: `ratio` of the requests plus `extra` in each window.
-/// Each node uses the ratio of its own requests and an equal part of the extra, so
-/// the sum keeps to the budget and no node asks another. The window here is one
-/// part longer than the shared one, which keeps any placement of that one within
-/// the budget.
+/// All nodes share one budget: `ratio` of the requests plus an extra number of retries in each
+/// window. Each node uses the ratio of its own requests and an equal part of the extra, so that the
+/// sum stays within the budget without coordination. This window is one bucket longer than the
+/// shared one, so that the budget holds for any position of that one.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
     extra_count: f64,
-    part: Duration,
-    parts: VecDeque<Part>,
+    bucket_duration: Duration,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
-    began: Duration,
+struct Bucket {
+    started: Duration,
     requests_count: f64,
-    repeats_count: f64,
+    retries_count: f64,
 }
 
 impl RetryBudget {
-    /// A window in which `ratio` of the requests and `extra_count` may be repeated.
+    /// Creates a budget of `ratio` of the requests plus `extra_count` retries in each window.
     pub fn new(window: Duration, ratio: f64, extra_count: f64) -> Self {
         Self {
             ratio,
             extra_count,
-            part: window / PARTS_COUNT,
-            parts: VecDeque::new(),
+            bucket_duration: window / BUCKETS_COUNT,
+            buckets: VecDeque::new(),
         }
     }
 
-    /// Changes this node's part of the extra, as nodes come and go.
+    /// Changes the extra of this node, when the number of nodes changes.
     pub fn set_extra_count(&mut self, extra_count: f64) {
         self.extra_count = extra_count;
     }
 
-    /// Counts requests; a request that makes calls counts for several there.
+    /// Counts requests; `count` may exceed 1 for a request that makes several calls.
     pub fn on_requests(&mut self, now: Duration, count: f64) {
-        self.part_at(now).requests_count += count;
+        self.current_bucket(now).requests_count += count;
     }
 
-    /// Whether this many repeats fit into the budget.
+    /// Whether this many retries fit into the budget.
     pub fn has_room(&mut self, now: Duration, count: f64) -> bool {
-        self.part_at(now);
-        let requests: f64 = self.parts.iter().map(|part| part.requests_count).sum();
-        let repeats: f64 = self.parts.iter().map(|part| part.repeats_count).sum();
-        repeats + count <= self.ratio * requests + self.extra_count
+        self.current_bucket(now);
+        let requests_count: f64 = self
+            .buckets
+            .iter()
+            .map(|bucket| bucket.requests_count)
+            .sum();
+        let retries_count: f64 = self.buckets.iter().map(|bucket| bucket.retries_count).sum();
+        retries_count + count <= self.ratio * requests_count + self.extra_count
     }
 
-    /// Counts repeats that are made.
+    /// Counts retries that are made.
     pub fn on_retries(&mut self, now: Duration, count: f64) {
-        self.part_at(now).repeats_count += count;
+        self.current_bucket(now).retries_count += count;
     }
 
-    fn part_at(&mut self, now: Duration) -> &mut Part {
-        let window = self.part * (PARTS_COUNT + 1);
+    fn current_bucket(&mut self, now: Duration) -> &mut Bucket {
+        let window = self.bucket_duration * (BUCKETS_COUNT + 1);
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|part| now >= part.began + window)
+            .is_some_and(|bucket| now >= bucket.started + window)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
-        let is_due = self
-            .parts
+        let needs_bucket = self
+            .buckets
             .back()
-            .is_none_or(|part| now >= part.began + self.part);
-        if is_due {
-            self.parts.push_back(Part {
-                began: now,
-                ..Part::default()
+            .is_none_or(|bucket| now >= bucket.started + self.bucket_duration);
+        if needs_bucket {
+            self.buckets.push_back(Bucket {
+                started: now,
+                ..Bucket::default()
             });
         }
-        self.parts.back_mut().expect("a part was pushed just now")
+        self.buckets
+            .back_mut()
+            .expect("a bucket was pushed just now")
     }
 }
