--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -426,15 +426,15 @@
 /// pressure on further services.
 fn apply_reports(node: &RoutedNode, call: &OutgoingCall, gate: SocketAddr, answer: &LinkAnswer) {
     let now = node.now();
-    let mut levels = node.entry_admission.borrow_mut();
+    let mut entry_admission = node.entry_admission.borrow_mut();
     if let Some(report) = answer.report {
-        levels.on_gate(now, &call.service, gate, &report);
+        entry_admission.on_gate(now, &call.service, gate, &report);
     }
-    if let Some(news) = &answer.news {
+    if let Some(update) = &answer.news {
         let route = &call.route.settings.name;
-        if levels.on_route_update(now, route, &call.service, gate, news.clone()) {
+        if entry_admission.on_route_update(now, route, &call.service, gate, update.clone()) {
             node.route_demand_log
-                .log_if_changed(now, route, &call.service, news);
+                .log_if_changed(now, route, &call.service, update);
         } else {
             node.metrics.count("news", "senseless");
             if node.metrics.take_log_permit(now) {
@@ -447,7 +447,7 @@
     for pressure in &answer.pressures {
         // For the service of the call, the gate's own report above is more accurate.
         if pressure.service != call.service {
-            levels.on_pressure(now, pressure);
+            entry_admission.on_pressure(now, pressure);
         }
     }
 }
@@ -477,8 +477,8 @@
 ) -> CallHead<'a> {
     let settings = &call.route.settings;
     let time_left = call.deadline.saturating_sub(node.now() + ANSWER_RESERVE);
-    let levels = node.entry_admission.borrow();
-    let level = levels.level(node.now(), &call.service);
+    let entry_admission = node.entry_admission.borrow();
+    let level = entry_admission.level(node.now(), &call.service);
     let level = level.map_or(1.0, |(level, _)| level);
     CallHead {
         number: 0,
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -42,9 +42,9 @@
     /// The latest start with which the call may still end before its deadline. It is refused
     /// after that, while its sender can still report that it has not run.
     fn latest_start(&self, node: &RoutedNode) -> Duration {
-        let work = node.gate.borrow().run_times().estimate(self.call.route);
+        let run_time = node.gate.borrow().run_times().estimate(self.call.route);
         self.deadline
-            .saturating_sub(work.mul_f64(MIN_RUN_TIME_RATIO))
+            .saturating_sub(run_time.mul_f64(MIN_RUN_TIME_RATIO))
     }
 }
 
@@ -68,10 +68,10 @@
     on_known_limit(node, call);
     let deadline = now + Duration::from_millis(call.remaining_ms);
     let sender_level = f64::from(call.level_permille) / 1_000.0;
-    let work = node.gate.borrow().run_times().estimate(call.route);
+    let run_time = node.gate.borrow().run_times().estimate(call.route);
     node.level_controller
         .borrow_mut()
-        .on_arrival(sender_level, work);
+        .on_arrival(sender_level, run_time);
     node.route_callers
         .borrow_mut()
         .record_call(now, call.route, call.caller_service);
@@ -111,8 +111,8 @@
         tokio::time::sleep(LEVEL_INTERVAL).await;
         let now = node.now();
         let state = node.gate.borrow().state();
-        let work = node.gate.borrow().mean_run_time();
-        let is_silent = node.backend_liveness.borrow().is_silent(now, work);
+        let run_time = node.gate.borrow().mean_run_time();
+        let is_silent = node.backend_liveness.borrow().is_silent(now, run_time);
         if is_silent && node.is_on(Mechanism::SilentBackend) {
             // Running calls are not cancelled: their answers may still come.
             announce_backend_death(&node, "it does not answer calls");
@@ -144,10 +144,10 @@
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        let work = self.node.now().saturating_sub(self.started_at);
+        let run_time = self.node.now().saturating_sub(self.started_at);
         let run = self.records_run_time.then_some(RouteRunTime {
             route: &self.route,
-            run_time: work,
+            run_time,
         });
         let mut gate = self.node.gate.borrow_mut();
         if self.is_forwarded {
--- a/crates/kumquatquayd/src/routed/route_demand_log.rs
+++ b/crates/kumquatquayd/src/routed/route_demand_log.rs
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 struct LoggedDemand {
     logged_at: Duration,
-    news: RouteNews,
+    update: RouteNews,
 }
 
 impl RouteDemandLog {
@@ -41,39 +41,39 @@
         now: Duration,
         route: &str,
         service: &str,
-        news: &RouteNews,
+        update: &RouteNews,
     ) {
         let mut logged = self.logged.borrow_mut();
         let key = (String::from(route), ServiceName::from(service));
         let last = logged.get(&key);
         let is_due = last.is_none_or(|last| now >= last.logged_at + MIN_LOG_INTERVAL);
-        let is_same = last.is_some_and(|last| !differs(&last.news, news));
+        let is_same = last.is_some_and(|last| !differs(&last.update, update));
         if !is_due || is_same || (last.is_none() && logged.len() >= ROUTES_LIMIT_COUNT) {
             return;
         }
-        let leads_to = news.leads_to.iter();
+        let leads_to = update.leads_to.iter();
         let leads_to = leads_to.map(|demand| {
             let work_ms = f64::from(demand.work_us) / 1_000.0;
             format!("{} {:.1} {work_ms:.0} ms", demand.service, demand.calls)
         });
         log::info!(event = "route_learnt", route = route, service = service,
-            is_settled = news.is_settled, is_from_outside = news.is_from_outside,
+            is_settled = update.is_settled, is_from_outside = update.is_from_outside,
             leads_to = leads_to.collect::<Vec<_>>().join(", ").as_str();
             "learnt the demand of a route: calls at each service and their slot time");
-        let news = news.clone();
+        let update = update.clone();
         logged.insert(
             key,
             LoggedDemand {
                 logged_at: now,
-                news,
+                update,
             },
         );
     }
 }
 
-fn differs(last: &RouteNews, news: &RouteNews) -> bool {
-    let demand_at = |news: &RouteNews, service: &str| {
-        let mut known = news.leads_to.iter();
+fn differs(last: &RouteNews, update: &RouteNews) -> bool {
+    let demand_at = |update: &RouteNews, service: &str| {
+        let mut known = update.leads_to.iter();
         known.find(|demand| demand.service == service).cloned()
     };
     let changed = |demand: &ServiceDemand| {
@@ -83,9 +83,9 @@
         calls > CALLS_CHANGE_RATIO * demand.calls.max(1.0)
             || work_us as f32 > WORK_CHANGE_RATIO * demand.work_us as f32
     };
-    let removed = |demand: &ServiceDemand| demand_at(news, &demand.service).is_none();
-    last.is_from_outside != news.is_from_outside
-        || last.is_settled != news.is_settled
-        || news.leads_to.iter().any(changed)
+    let removed = |demand: &ServiceDemand| demand_at(update, &demand.service).is_none();
+    last.is_from_outside != update.is_from_outside
+        || last.is_settled != update.is_settled
+        || update.leads_to.iter().any(changed)
         || last.leads_to.iter().any(removed)
 }
