--- a/crates/kumquatquay-core/src/routed/latency_estimate.rs
+++ b/crates/kumquatquay-core/src/routed/latency_estimate.rs
@@ -1,17 +1,18 @@
-//! How long requests on a route take once they are let in.
+//! Estimated latency of requests on a route, from their admission on.
 
 use std::time::Duration;
 
-/// Weight of the newest time against those before.
+/// Weight of a new latency in the moving average.
 const NEW_WEIGHT: f64 = 0.05;
 
-/// The same for the deviation from the mean.
+/// Weight of a new deviation from the mean in its moving average.
 const DEVIATION_WEIGHT: f64 = 0.05;
 
-/// Mean deviations above the mean within which nearly all requests end.
+/// Multiple of the mean deviation that is added to the mean, so that nearly all requests end
+/// within the sum.
 const DEVIATIONS_COUNT: f64 = 2.0;
 
-/// A mean time and how far single ones lie from it.
+/// Moving averages of the latency and of its absolute deviation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyEstimate {
     mean_s: f64,
@@ -19,23 +20,23 @@
 }
 
 impl LatencyEstimate {
-    /// What is known after the first request.
-    pub(super) fn first(took: Duration) -> Self {
-        let mean_s = took.as_secs_f64();
+    /// Creates the estimate from the first latency.
+    pub(super) fn first(latency: Duration) -> Self {
+        let mean_s = latency.as_secs_f64();
         Self {
             mean_s,
             deviation_s: mean_s / 2.0,
         }
     }
 
-    /// Takes in one more.
-    pub(super) fn observe(&mut self, took: Duration) {
-        let off_s = took.as_secs_f64() - self.mean_s;
-        self.deviation_s += DEVIATION_WEIGHT * (off_s.abs() - self.deviation_s);
-        self.mean_s += NEW_WEIGHT * off_s;
+    /// Adds a latency.
+    pub(super) fn observe(&mut self, latency: Duration) {
+        let error_s = latency.as_secs_f64() - self.mean_s;
+        self.deviation_s += DEVIATION_WEIGHT * (error_s.abs() - self.deviation_s);
+        self.mean_s += NEW_WEIGHT * error_s;
     }
 
-    /// Time within which nearly all end.
+    /// Latency within which nearly all requests end.
     pub(super) fn upper_bound(self) -> Duration {
         Duration::from_secs_f64(self.mean_s + DEVIATIONS_COUNT * self.deviation_s)
     }
--- a/crates/kumquatquay-core/src/routed/mod.rs
+++ b/crates/kumquatquay-core/src/routed/mod.rs
@@ -1,10 +1,9 @@
-//! Decisions for calls on configured routes.
+//! Decisions on calls along configured routes.
 //!
-//! A [`RouteConfiguration`](kumquatquay_wire::routed::RouteConfiguration) sends calls
-//! by host and path to services, with a timeout, a priority and a number of attempts
-//! each. This module decides where each call goes, who waits, who is refused and what
-//! is sent once more. It needs no network: the daemon carries the bytes and tells the
-//! time.
+//! A [`RouteConfiguration`](kumquatquay_wire::routed::RouteConfiguration) maps calls to services by
+//! host and path, with a timeout, a priority and a number of attempts each. This module does the
+//! routing, load balancing, queueing, admission control and retries. It does no input or output
+//! and reads no clock: the daemon transports the bytes and passes in the time.
 
 mod backend_liveness;
 mod backend_lives;
--- a/crates/kumquatquay-core/src/routed/unknown_keys.rs
+++ b/crates/kumquatquay-core/src/routed/unknown_keys.rs
@@ -1,48 +1,51 @@
-//! Keys that no workspace holds, and that are shown all the same.
+//! Negative cache of keys that no workspace holds.
 
 use std::{collections::HashMap, time::Duration};
 
 use kumquatquay_wire::routed::KeyDigest;
 
-/// Time for which a key counts as one of nobody after that was found out.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// How long a key counts as unknown after this was verified.
+const ENTRY_TTL: Duration = Duration::from_secs(30);
 
-/// Keys that are remembered; a flood of others takes their places.
-const LIMIT_COUNT: usize = 1_024;
+/// Limit of the cached keys; further ones replace the oldest.
+const MAX_KEYS_COUNT: usize = 1_024;
 
-/// Keys of which it was proved that no workspace holds them.
+/// Keys of which it was verified that no workspace holds them.
 ///
-/// Callers go on with a key after it was taken away, for as long as they like. If each of their
-/// requests asked the store whether the key has come back, one caller would cost more reads than
-/// the whole fleet.
+/// Callers may go on using a revoked key for any time. If each of their requests made the node ask
+/// the store whether the key is valid again, one caller would cause more reads than the rest of the
+/// fleet.
 #[derive(Debug, Default)]
 pub struct UnknownKeys {
-    known: HashMap<KeyDigest, Duration>,
+    verified_at: HashMap<KeyDigest, Duration>,
 }
 
 impl UnknownKeys {
-    /// No workspace holds a key, as was proved now.
+    /// Adds a key of which it was verified now that no workspace holds it.
     pub fn insert(&mut self, now: Duration, key: KeyDigest) {
-        if self.known.len() >= LIMIT_COUNT && !self.known.contains_key(&key) {
-            self.make_room(now);
+        if self.verified_at.len() >= MAX_KEYS_COUNT && !self.verified_at.contains_key(&key) {
+            self.evict(now);
         }
-        self.known.insert(key, now);
+        self.verified_at.insert(key, now);
     }
 
-    /// Whether a key was found to be one of nobody lately.
+    /// Whether it was verified recently that no workspace holds a key.
     pub fn contains(&self, now: Duration, key: KeyDigest) -> bool {
-        let found_out = self.known.get(&key);
-        found_out.is_some_and(|found_out| now < *found_out + REMEMBERED)
+        let verified = self.verified_at.get(&key);
+        verified.is_some_and(|verified| now < *verified + ENTRY_TTL)
     }
 
-    /// Forgets those that are too old, and one more if there are none.
-    fn make_room(&mut self, now: Duration) {
-        self.known
-            .retain(|_, found_out| now < *found_out + REMEMBERED);
-        if self.known.len() >= LIMIT_COUNT {
-            let oldest = self.known.iter().min_by_key(|(_, found_out)| **found_out);
+    /// Removes the expired keys, or the oldest one if none has expired.
+    fn evict(&mut self, now: Duration) {
+        self.verified_at
+            .retain(|_, verified| now < *verified + ENTRY_TTL);
+        if self.verified_at.len() >= MAX_KEYS_COUNT {
+            let oldest = self
+                .verified_at
+                .iter()
+                .min_by_key(|(_, verified)| **verified);
             let oldest = oldest.map(|(key, _)| *key);
-            self.known.retain(|key, _| Some(*key) != oldest);
+            self.verified_at.retain(|key, _| Some(*key) != oldest);
         }
     }
 }
--- a/crates/kumquatquay-core/src/routed/workspaces.rs
+++ b/crates/kumquatquay-core/src/routed/workspaces.rs
@@ -1,4 +1,4 @@
-//! Who a caller is, by the key that it shows.
+//! Identification of callers by the keys of their workspaces.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -6,47 +6,47 @@
     KeyDigest, Priority, Quota, RouteSettings, WorkspaceName, WorkspaceSettings,
 };
 
-/// Ranks of routes that are told apart within one rank of workspaces.
-const ROUTE_RANKS_COUNT: Priority = 64;
+/// Priorities of routes that are distinguished within one priority of workspaces.
+const ROUTE_PRIORITIES_COUNT: Priority = 64;
 
-/// The key that a caller shows.
+/// The key that a caller presents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// None.
+    /// No key.
     #[default]
     Missing,
-    /// One.
+    /// A well-formed key.
     Present(KeyDigest),
-    /// What it shows can't be read, or there are several.
+    /// A malformed key, or several keys.
     Malformed,
 }
 
-/// What a key says of a caller.
+/// Identity of a caller according to its key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerIdentity {
-    /// The route asks for no key, and none that is known was shown.
+    /// No known key was presented, and the route requires none.
     Anonymous,
-    /// The key is held by this workspace.
+    /// The workspace that holds the key.
     Workspace(Arc<WorkspaceSettings>),
-    /// The route asks for a key and none that can be read was shown.
+    /// The route requires a key, and none or only a malformed one was presented.
     MissingKey,
-    /// No workspace of this configuration holds the key; a newer one may know it.
+    /// No workspace of this configuration holds the key; one of a newer configuration may.
     UnknownKey,
 }
 
 /// The workspaces of a configuration, by their keys.
 #[derive(Debug, Default)]
 pub struct Workspaces {
-    /// Whether routes that aren't public ask for a key.
-    asks_for_keys: bool,
+    /// Whether routes that aren't public require a key.
+    requires_keys: bool,
     by_key: HashMap<KeyDigest, Arc<WorkspaceSettings>>,
     quotas: HashMap<WorkspaceName, Quota>,
 }
 
 impl Workspaces {
-    /// Lays out workspaces; `None` asks nobody for a key.
+    /// Indexes workspaces by their keys; with `None` no route requires a key.
     pub fn new(workspaces: Option<Vec<WorkspaceSettings>>) -> Self {
-        let asks_for_keys = workspaces.is_some();
+        let requires_keys = workspaces.is_some();
         let workspaces: Vec<_> = workspaces.into_iter().flatten().map(Arc::new).collect();
         let quotas = workspaces
             .iter()
@@ -57,15 +57,15 @@
             keys.map(move |key| (key, Arc::clone(&workspace)))
         });
         Self {
-            asks_for_keys,
+            requires_keys,
             by_key: by_key.collect(),
             quotas,
         }
     }
 
-    /// Whether any route may ask for a key.
+    /// Whether routes that aren't public require a key.
     pub fn require_keys(&self) -> bool {
-        self.asks_for_keys
+        self.requires_keys
     }
 
     /// Whether any workspace has a quota.
@@ -78,15 +78,15 @@
         self.quotas.get(workspace).copied()
     }
 
-    /// Keys that these workspaces hold and others don't.
+    /// Keys that these workspaces hold and `others` don't.
     pub fn keys_not_in<'a>(&'a self, others: &'a Self) -> impl Iterator<Item = KeyDigest> + 'a {
         let keys = self.by_key.keys().copied();
         keys.filter(|key| !others.by_key.contains_key(key))
     }
 
-    /// Finds out who a caller on a route is.
+    /// Identifies a caller on a route by its key.
     pub fn identify(&self, route: &RouteSettings, key: PresentedKey) -> CallerIdentity {
-        if !self.asks_for_keys {
+        if !self.requires_keys {
             return CallerIdentity::Anonymous;
         }
         let known = match key {
@@ -102,15 +102,16 @@
     }
 }
 
-/// Rank of a whole request: by its workspace first, where that has a rank, then by its route.
+/// Priority of a root request: first by the priority of its workspace, if that has one, and then
+/// by the priority of its route.
 ///
-/// Workspaces of one rank send requests of all kinds. Without the second part a filing would be
-/// refused for a shortage as often as a look-up beside it.
+/// Workspaces of the same priority send requests of all kinds. Without the second criterion a
+/// filing would be refused in an overload as often as a look-up.
 pub fn request_priority(route: &RouteSettings, workspace: Option<&WorkspaceSettings>) -> Priority {
-    let own = workspace.and_then(|workspace| workspace.priority);
-    let first = own.unwrap_or(route.priority);
-    let second = route.priority.min(ROUTE_RANKS_COUNT - 1);
-    first
-        .saturating_mul(ROUTE_RANKS_COUNT)
-        .saturating_add(second)
+    let workspace_priority = workspace.and_then(|workspace| workspace.priority);
+    let major = workspace_priority.unwrap_or(route.priority);
+    let minor = route.priority.min(ROUTE_PRIORITIES_COUNT - 1);
+    major
+        .saturating_mul(ROUTE_PRIORITIES_COUNT)
+        .saturating_add(minor)
 }
