--- a/crates/kumquatquay-core/tests/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted at the entry.
+//! Which root requests are admitted at the entry.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -178,7 +178,7 @@
 }
 
 /// A refusal has what an engineer needs to explain it: three quarters of the history requests
-/// are refused, and the register has been short of room for ten seconds.
+/// are refused, and the register has been overloaded for ten seconds.
 #[test]
 fn a_refusal_has_the_admission_probability_and_the_duration() {
     let mut admission = admission();
--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn all_held_requests_are_taken_out_together() {
+fn all_held_requests_can_be_withdrawn_at_once() {
     let mut queue = queue();
     held(&mut queue, 0, 0.5);
     held(&mut queue, 10, 0.5);
--- a/crates/kumquatquay-core/tests/routed/host_gate.rs
+++ b/crates/kumquatquay-core/tests/routed/host_gate.rs
@@ -246,8 +246,8 @@
     assert_eq!(gate.report(at_ms(0), 1.0).running_count, 100);
 }
 
-/// Calls in the backend server's own queue have arrived there, so no further calls are handed
-/// over in their place.
+/// Calls in the backend server's own queue have arrived there, so no further calls are forwarded in
+/// their place.
 #[test]
 fn calls_queued_at_the_backend_server_are_not_in_transit() {
     let mut gate = gate(30);
--- a/crates/kumquatquay-core/tests/routed/level_controller.rs
+++ b/crates/kumquatquay-core/tests/routed/level_controller.rs
@@ -18,7 +18,7 @@
 }
 
 const SLOTS: usize = 30;
-const WORK_S: f64 = 0.022;
+const RUN_TIME_S: f64 = 0.022;
 
 /// What happened in a step of a tenth of a second.
 struct Step {
@@ -45,29 +45,29 @@
     /// arrives, and in addition `uncontrolled` times what it can run, whatever the level.
     fn step(&mut self, offered: f64, uncontrolled: f64) -> Step {
         let level = self.levels.pop_front().unwrap();
-        let room = SLOTS as f64 * 0.1 / WORK_S;
-        let mean = room * (offered * level + uncontrolled);
+        let capacity = SLOTS as f64 * 0.1 / RUN_TIME_S;
+        let mean = capacity * (offered * level + uncontrolled);
         let arrivals = (mean + mean.sqrt() * self.random.random_range(-1.7..1.7)).max(0.0);
         for _ in 0..arrivals as u32 {
             self.controller
-                .on_arrival(self.controller.level(), Duration::from_secs_f64(WORK_S));
+                .on_arrival(self.controller.level(), Duration::from_secs_f64(RUN_TIME_S));
         }
-        let run = room.min(self.waiting + arrivals);
+        let run = capacity.min(self.waiting + arrivals);
         let waiting = self.waiting + arrivals - run;
         // Calls wait for 0.3 s at most.
-        self.waiting = waiting.min(3.0 * room);
+        self.waiting = waiting.min(3.0 * capacity);
         self.step += 1;
         self.controller.tick(
             at_ms(self.step * 100),
             GateState {
                 slots: SLOTS as f64,
-                waiting_work: Duration::from_secs_f64(WORK_S).mul_f64(self.waiting),
+                waiting_work: Duration::from_secs_f64(RUN_TIME_S).mul_f64(self.waiting),
             },
         );
         self.levels.push_back(self.controller.level());
         Step {
             level: self.controller.level(),
-            used_ratio: run / room,
+            used_ratio: run / capacity,
             lost: waiting - self.waiting,
         }
     }
--- a/crates/kumquatquay-core/tests/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/tests/routed/load_balancer.rs
@@ -149,7 +149,7 @@
 /// connection's timeout. One call that tries it after a pause is enough to find out whether it
 /// is back.
 #[test]
-fn a_host_is_not_picked_for_some_time_after_its_link_was_lost() {
+fn a_host_is_excluded_for_some_time_after_its_link_was_lost() {
     let (mut balancer, mut random) = balancer();
     balancer.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let excluded = [address(2), address(3)];
@@ -396,10 +396,10 @@
     assert!(counts.get(&1).is_none_or(|count| *count <= 5), "{counts:?}");
 }
 
-/// A server that has refused a call for its rate limit isn't tried again before it takes the next
-/// one. While all have refused, callers learn the reason at once.
+/// A server at its rate limit is excluded until it takes the next call. While all servers are
+/// excluded for that, the load balancer picks none and gives the reason at once.
 #[test]
-fn a_server_at_its_rate_limit_is_not_picked_until_it_takes_the_next_call() {
+fn a_server_at_its_rate_limit_is_excluded_until_it_takes_the_next_call() {
     let (mut balancer, mut random) = balancer();
     for host in [1, 2, 3] {
         let report = limited_report(2.0, 400);
--- a/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
@@ -86,7 +86,7 @@
 }
 
 /// A backend server that takes no calls still gets one every five seconds as a probe: without any
-/// calls, it could never answer that its limit has ended.
+/// calls, it could never lift its limit.
 #[test]
 fn a_limit_of_zero_lets_probes_through() {
     let mut limit = limited(0.0);
@@ -119,7 +119,7 @@
 /// The answer of a long run was written before the server advertised its limit, and is read after
 /// one that advertises it. If it were taken for the latest state, all calls would be let through.
 #[test]
-fn an_answer_to_an_earlier_run_does_not_end_a_limit() {
+fn an_answer_to_an_earlier_run_does_not_lift_a_limit() {
     let mut limit = limited(1.0);
     limit.on_answer(
         at_ms(2_000),
@@ -210,9 +210,9 @@
     assert_eq!(limit.per_s(), None);
 }
 
-/// A caller disconnects before its call was handed over: another call may begin in its place.
+/// A caller disconnects before its call was forwarded: another call may begin in its place.
 #[test]
-fn a_call_that_was_not_handed_over_costs_nothing() {
+fn a_call_that_was_not_forwarded_takes_no_token() {
     let mut limit = limited(1.0);
     limit.take(at_ms(1_000));
     assert!(!limit.has_token(at_ms(1_000)));
