--- a/crates/kumquatquay-core/src/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/src/routed/backend_lives.rs
@@ -1,89 +1,89 @@
-//! Which life of the backend server of this host counts.
+//! Determines the current life of the backend server of this host.
 
 use std::{collections::HashMap, time::Duration};
 
 use derive_more::{Display, Error};
 use kumquatquay_wire::{BackendLife, ServiceName};
 
-/// Lives that are remembered; a host starts few backend servers in its own life.
+/// Most lives that are kept; a host starts few backend servers between its own restarts.
 const LIVES_LIMIT_COUNT: usize = 256;
 
-/// What a backend server says of itself.
+/// A report of a backend server about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LifeReport {
-    /// Which life says it.
+    /// Life that it is about.
     pub life: BackendLife,
-    /// Service that it belongs to.
+    /// Service that the backend server belongs to.
     pub service: ServiceName,
-    /// Calls that it runs at the same time.
+    /// Calls that the backend server runs concurrently.
     pub slots_count: usize,
-    /// Whether it stays.
+    /// Whether the backend server accepts calls.
     pub state: LifeState,
-    /// Grows with each report of one life.
+    /// Number that grows with each report of one life.
     pub sequence: u64,
-    /// How much longer it is slow after its start.
+    /// Time for which the backend server will still be slow after its start.
     pub warm_up_left: Duration,
 }
 
-/// Whether a backend server stays.
+/// State of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LifeState {
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its calls and accepts no new ones.
     Draining,
-    /// It has said that it leaves, or was found dead.
+    /// It has reported that it leaves, or was found dead.
     Gone,
 }
 
-/// A report that can't be of the backend server of this host.
+/// Why a report is rejected: it can't be from the backend server of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum ReportError {
-    /// It doesn't tell the start of its life, as those before did.
+    /// It lacks the start of its life, which earlier reports had.
     #[display("it doesn't tell when its life began, as the reports before did")]
     MissingStart,
 }
 
-/// The lives of the backend server of this host, and the one that counts.
+/// Lives of the backend server of this host, one of which is current. A life is the time from a
+/// start of the backend server to its end.
 ///
-/// A report of a life that has ended may arrive late, after the next life's first.
-/// Taken for news it would send calls to a life that isn't there, each of them
-/// turned away; where the lives share their id, a leaving of the one before would
-/// keep the next one from ever being called. So a life is told by its id and its
-/// start, and the one that started last counts. Those that don't tell their start are
-/// ordered by their first report here. One that another has displaced doesn't come
-/// back by a report: only an answer that the backend server itself gives brings it
-/// back ([`BackendLives::on_answer_from`]).
+/// A report of a life that has ended may arrive late, after the first report of the next life. If
+/// it were applied, calls would be sent to the ended life, and each would be rejected; and if both
+/// lives have the same id, the earlier life's report that it leaves would keep the later one from
+/// ever being called. So a life is identified by its id and its start, and the one that started
+/// last is current. Lives without a known start are ordered by their first report. A life that
+/// another one has superseded doesn't become current again by a report, but only by an answer of
+/// the backend server itself ([`BackendLives::on_answer_from`]).
 #[derive(Debug, Default)]
 pub struct BackendLives {
     lives: HashMap<BackendLife, Life>,
     current: Option<LifeReport>,
     leaving_since: Option<Duration>,
-    /// The latest start of a life that has counted.
+    /// Latest start of a life that has been current.
     last_born_unix_ms: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct Life {
     leaving_since: Option<Duration>,
-    /// The newest report; none where only its leaving was heard of.
+    /// Newest report; `None` if the life has only reported that it leaves.
     report: Option<LifeReport>,
-    is_displaced: bool,
+    is_superseded: bool,
 }
 
 impl BackendLives {
-    /// Takes in a report; whether it changes what counts.
+    /// Applies a report. Returns whether the current life, its state or its slots change.
     ///
     /// # Errors
     ///
-    /// Why it can't be of this backend server; nothing has changed then.
+    /// [`ReportError`] if the report can't be from this backend server; nothing changes then.
     pub fn on_report(&mut self, now: Duration, report: LifeReport) -> Result<bool, ReportError> {
         if report.life.born_unix_ms.is_none() && self.last_born_unix_ms.is_some() {
             return Err(ReportError::MissingStart);
         }
-        self.make_room();
+        self.evict_unused();
         let id = report.life.clone();
-        let is_of_the_past = id.born_unix_ms < self.last_born_unix_ms;
+        let is_past = id.born_unix_ms < self.last_born_unix_ms;
         let life = self.lives.entry(id.clone()).or_default();
         let is_late = life.is_newer_than(&report);
         let is_leaving = report.state > LifeState::Serving;
@@ -93,21 +93,21 @@
         if is_late && !is_leaving {
             return Ok(false);
         }
-        life.take_report(report);
-        life.is_displaced |= is_of_the_past;
-        if life.is_displaced {
+        life.set_report(report);
+        life.is_superseded |= is_past;
+        if life.is_superseded {
             return Ok(false);
         }
         Ok(self.make_current(&id))
     }
 
-    /// A life says that it leaves, without more about itself; whether it was known.
+    /// A life reports that it leaves, and nothing else. Returns whether the life was known.
     ///
-    /// A leaving that doesn't tell the start of its life is of the last one with that
-    /// id. It is kept though the life isn't known yet: a report that it sent before may
-    /// still be on its way.
+    /// Without the start of a life, this applies to the last life with that id. It is recorded
+    /// even if the life isn't known yet, since a report that was sent earlier may still be in
+    /// transit.
     pub fn on_leave(&mut self, now: Duration, life: &BackendLife) -> bool {
-        self.make_room();
+        self.evict_unused();
         let id = match life.born_unix_ms {
             Some(_) => life.clone(),
             None => self.last_life_of(&life.instance).unwrap_or(life).clone(),
@@ -124,7 +124,7 @@
         is_known
     }
 
-    /// Whether a life has said that it leaves.
+    /// Whether a life has reported that it leaves.
     pub fn is_leaving(&self, life: &BackendLife) -> bool {
         let life = match life.born_unix_ms {
             Some(_) => life,
@@ -134,8 +134,7 @@
         life.is_some_and(|life| life.leaving_since.is_some())
     }
 
-    /// The backend server answered in the name of an id; whether that changes what
-    /// counts.
+    /// The backend server answered with this id. Returns whether the current life changes.
     pub fn on_answer_from(&mut self, instance: &str) -> bool {
         let current = self.current.as_ref();
         if current.is_some_and(|current| current.life.instance == instance) {
@@ -144,34 +143,34 @@
         let Some(id) = self.last_life_of(instance).cloned() else {
             return false;
         };
-        // What the backend server says itself goes before the order of the starts.
+        // An answer of the backend server itself overrides the order of the starts.
         self.last_born_unix_ms = id.born_unix_ms;
         if let Some(life) = self.lives.get_mut(&id) {
-            life.is_displaced = false;
+            life.is_superseded = false;
         }
         self.make_current(&id)
     }
 
-    /// Nothing listens at the backend server's address any more; whether that
-    /// changes what counts. Its next report brings it back.
+    /// The backend server was found dead: nothing listens at its address, or it gives no answers.
+    /// Its next report makes its life current again. Returns whether there was a current life.
     pub fn on_dead(&mut self) -> bool {
         self.leaving_since = None;
         self.current.take().is_some()
     }
 
-    /// The life that counts.
+    /// Newest report of the current life.
     pub fn current(&self) -> Option<&LifeReport> {
         self.current.as_ref()
     }
 
-    /// Whether calls for a life may be handed to the backend server, which goes on
-    /// for `drain` after it has said that it leaves.
+    /// Whether calls for a life may be sent to the backend server, which accepts calls for `drain`
+    /// after it has reported that it leaves. `None` stands for any life.
     pub fn may_run(&self, now: Duration, life: Option<&BackendLife>, drain: Duration) -> bool {
         let Some(current) = &self.current else {
             return false;
         };
-        let is_meant = life.is_none_or(|life| *life == current.life);
-        is_meant && self.leaving_since.is_none_or(|since| now < since + drain)
+        let is_current = life.is_none_or(|life| *life == current.life);
+        is_current && self.leaving_since.is_none_or(|since| now < since + drain)
     }
 
     fn is_current(&self, life: &BackendLife) -> bool {
@@ -191,9 +190,9 @@
         };
         if let Some(current) = &self.current
             && current.life != *life
-            && let Some(displaced) = self.lives.get_mut(&current.life)
+            && let Some(superseded) = self.lives.get_mut(&current.life)
         {
-            displaced.is_displaced = true;
+            superseded.is_superseded = true;
         }
         self.leaving_since = self.lives[life].leaving_since;
         self.last_born_unix_ms = self.last_born_unix_ms.max(life.born_unix_ms);
@@ -206,25 +205,28 @@
         is_change
     }
 
-    fn make_room(&mut self) {
+    /// Evicts superseded lives, and those without a report, if there are too many lives.
+    fn evict_unused(&mut self) {
         if self.lives.len() < LIVES_LIMIT_COUNT {
             return;
         }
         let current = self.current.as_ref().map(|current| current.life.clone());
         self.lives.retain(|id, life| {
-            let is_of_use = !life.is_displaced && life.report.is_some();
-            is_of_use || Some(id) == current.as_ref()
+            let is_in_use = !life.is_superseded && life.report.is_some();
+            is_in_use || Some(id) == current.as_ref()
         });
     }
 }
 
 impl Life {
+    /// Whether the known report is newer than this one.
     fn is_newer_than(&self, report: &LifeReport) -> bool {
         let known = self.report.as_ref();
         known.is_some_and(|known| report.sequence < known.sequence)
     }
 
-    fn take_report(&mut self, mut report: LifeReport) {
+    /// Stores a report; a life that leaves stays draining, whatever the report says.
+    fn set_report(&mut self, mut report: LifeReport) {
         if let Some(known) = &self.report {
             report.sequence = report.sequence.max(known.sequence);
         }
--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -13,7 +13,7 @@
 
 use super::{
     offered_load::OfferedLoad,
-    pooled_news::{PooledNews, makes_sense},
+    pooled_estimates::{PooledEstimates, is_plausible},
     service_levels::{LEVEL_EXPIRY, ServiceLevels},
 };
 
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 struct RouteState {
     /// By the service whose gates reported it, as a route may be split among services.
-    known: BTreeMap<ServiceName, PooledNews>,
+    known: BTreeMap<ServiceName, PooledEstimates>,
     offered: OfferedLoad,
 }
 
@@ -133,7 +133,7 @@
         gate: SocketAddr,
         news: RouteNews,
     ) -> bool {
-        if !makes_sense(&news, |service| self.reported_run_time_s(now, service)) {
+        if !is_plausible(&news, |service| self.reported_run_time_s(now, service)) {
             return false;
         }
         if !self.routes.contains_key(route) && self.routes.len() >= MAX_TRACKED_COUNT {
@@ -141,7 +141,7 @@
         }
         let known = &mut self.routes.entry(String::from(route)).or_default().known;
         let known = known.entry(ServiceName::from(service)).or_default();
-        known.tell(now, gate, news);
+        known.record(now, gate, news);
         true
     }
 
--- a/crates/kumquatquay-core/src/routed/mod.rs
+++ b/crates/kumquatquay-core/src/routed/mod.rs
@@ -26,7 +26,7 @@
 mod mechanisms;
 mod offered_load;
 mod outlier_detector;
-mod pooled_news;
+mod pooled_estimates;
 mod register_bootstrap;
 mod reported_lives;
 mod request_pipeline;
--- a/crates/kumquatquay-core/src/routed/register_bootstrap.rs
+++ b/crates/kumquatquay-core/src/routed/register_bootstrap.rs
@@ -1,37 +1,43 @@
-//! How a node that starts finds the others by the register in the store.
+//! Finds the other nodes at start through the register of nodes in the store.
 
 use std::{net::SocketAddr, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Place of an entry in the order of the register, which has nothing to do with where hosts
-/// stand or when they came.
+/// Position of an entry in the register: a hash, independent of the location of the host and of
+/// the time of registration.
 pub type RegisterPosition = u32;
 
-/// Others on a page below which the next page is read too: a node whose entry is one of the
-/// last would know next to nobody.
-const ENOUGH_COUNT: usize = 16;
+/// Number of other nodes that is enough. If the last page of the register has fewer, the first
+/// one is read too: otherwise a node whose entry is one of the last would know hardly any nodes.
+const ENOUGH_PEERS_COUNT: usize = 16;
 
-/// Pause after a call that failed, at first and at most; it doubles, and is drawn between half
-/// of it and one and a half, so that nodes that failed together don't ask together.
+/// Pause after the first failed call. It doubles with each further failure, and is multiplied by a
+/// random factor from 0.5 to 1.5, so that nodes that failed together don't retry together.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-const RETRY_PAUSE_MOST: Duration = Duration::from_secs(8);
 
-/// Time in which those that were found answer an introduction, at first; it doubles each time
-/// that nobody did, up to the most.
-const ANSWER_PAUSE: Duration = Duration::from_millis(1_500);
-const ANSWER_PAUSE_MOST: Duration = Duration::from_secs(30);
+/// Upper bound of that pause, before the random factor.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
 
-/// Time over which the entries that the store lost are made again, for each node that is known,
-/// and at the least: 500 a second, whatever the size of the fleet.
-const ENTER_AGAIN_PER_NODE: Duration = Duration::from_millis(2);
-const ENTER_AGAIN_LEAST: Duration = Duration::from_millis(500);
+/// Time in which the nodes that were found may answer the first introduction. It doubles each time
+/// that none did.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The least part of the register that a page is taken to span: one at its end may hold a
-/// single entry.
-const ESTIMATE_LEAST_SHARE: f64 = 0.005;
+/// Upper bound of that time.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where a node enters itself in the register: the same place in each of its lives.
+/// Time, for each known node, over which nodes write the entries again that the store lost: 500 a
+/// second, whatever the size of the fleet.
+const REENTRY_SPREAD_PER_NODE: Duration = Duration::from_millis(2);
+
+/// Lower bound of that time.
+const MIN_REENTRY_SPREAD: Duration = Duration::from_millis(500);
+
+/// Least share of the register that a page is assumed to span when its size is estimated: a page
+/// at the end may have a single entry.
+const ESTIMATE_MIN_SHARE: f64 = 0.005;
+
+/// Position of a node's own entry in the register; it stays the same when the node restarts.
 pub fn register_position(control: SocketAddr) -> RegisterPosition {
     let hash = blake3::hash(control.to_string().as_bytes());
     let first = hash.as_bytes()[..4].try_into();
@@ -41,74 +47,73 @@
 /// What a node does next about the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegisterStep {
-    /// It enters itself.
+    /// Writes its own entry.
     Enter,
-    /// It reads one page of entries, from this place on.
+    /// Reads one page of entries.
     ReadPage {
-        /// The first place on the page.
+        /// First position on the page.
         from: RegisterPosition,
     },
-    /// Nothing before this moment.
+    /// Waits.
     Wait {
         /// Time since the node's start.
         until: Duration,
     },
-    /// Nothing any more: the members tell each other the rest.
+    /// Nothing more: the membership protocol finds the other nodes.
     Done,
 }
 
-/// A page of the register, as far as it matters here.
+/// Summary of a page of the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisterPageSummary {
-    /// The first place that was asked for.
+    /// First position that was requested.
     pub from: RegisterPosition,
-    /// Place of the last entry on it, where there is one.
+    /// Position of the last entry on the page, if there is one.
     pub last_position: Option<RegisterPosition>,
-    /// Other nodes on it.
+    /// Other nodes on the page.
     pub others_count: usize,
-    /// Whether the register ends with it.
+    /// Whether this is the last page of the register.
     pub is_last: bool,
 }
 
 impl RegisterPageSummary {
-    /// Nodes in the whole register, by how close to each other those on this page lie.
+    /// Estimates the number of nodes in the register from the density of the entries on this page.
     pub fn estimate_count(&self) -> usize {
         let last_position = self.last_position.filter(|_| !self.is_last);
         let to = last_position.unwrap_or(RegisterPosition::MAX);
         let share = f64::from(to.saturating_sub(self.from)) / f64::from(RegisterPosition::MAX);
         let nodes_count = (self.others_count + 1) as f64;
-        (nodes_count / share.max(ESTIMATE_LEAST_SHARE)) as usize
+        (nodes_count / share.max(ESTIMATE_MIN_SHARE)) as usize
     }
 }
 
-/// How a node enters itself and finds some others: two or three calls at the store, however
-/// many nodes there are.
+/// Registers a node and finds a few others, with two or three calls to the store, however many
+/// nodes there are.
 ///
-/// It needs a few peers only, who have the whole table. It enters itself and then reads the
-/// page behind its own entry. Of any two nodes the one that reads later finds the other or
-/// somebody before it, so all are joined, though they start at the same moment; and since
-/// places are drawn by a hash, each node finds others, of all data centres. It looks again only
-/// while nobody that it found has answered.
+/// A node needs only a few peers, since each peer has the whole member table. It writes its own
+/// entry and then reads the page after that entry. Of any two nodes, the one that reads later finds
+/// the other, or a node before it, so all nodes are connected even if they start at the same
+/// moment. Since positions are hashes, each node finds nodes of all data centres. It reads another
+/// page only while none of the nodes that it found has answered.
 ///
-/// The store may come back from a copy that is older than an entry. Whoever starts then would find
-/// neither this node nor, maybe, any other, so each enters itself again. The look behind it is for
-/// nodes that know few others: two that have entered themselves on either side of the return
-/// know nothing of each other.
+/// The store may be restored from a backup that is older than an entry. A node that starts then
+/// would find neither this node nor, possibly, any other, so each node writes its entry again. Only
+/// nodes that know few others read a page after that: two nodes that have written their entries
+/// before and after the restore don't know of each other.
 ///
-/// Reading the whole register at each start costs as many pages as there are nodes, over fifty:
-/// at 5,100 nodes all starts of a day, or one of all nodes, would take more than the store
-/// gives.
+/// To read the whole register at each start would take one page per fifty nodes: with 5,100 nodes,
+/// all starts of a day, or one start of all nodes, would take more calls than the store allows.
 #[derive(Debug)]
 pub struct RegisterBootstrap {
-    own: RegisterPosition,
+    own_position: RegisterPosition,
     random: StdRng,
     stage: Stage,
     next_at: Duration,
-    /// Whether the entry is made again, since the store may have lost it.
-    is_again: bool,
-    entry: Entry,
+    /// Whether the entry is written again because the store may have lost it.
+    is_reentry: bool,
+    entry: EntryWrite,
     retry_pause: Duration,
-    answer_pause: Duration,
+    answer_timeout: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -117,39 +122,39 @@
     ReadPage {
         from: RegisterPosition,
     },
-    /// Those that were found are introduced to.
+    /// This node has introduced itself to the nodes that it found.
     Introduced {
         found_count: usize,
     },
     Done,
 }
 
-/// The call that enters this node.
+/// State of the call that writes this node's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Entry {
-    /// There is none.
+enum EntryWrite {
+    /// There is no such call.
     None,
-    UnderWay,
-    /// It is under way, and the store came back from a copy since it was begun.
-    Void,
+    InProgress,
+    /// The call is in progress, and the store was restored from a backup since it started.
+    Outdated,
 }
 
 impl RegisterBootstrap {
-    /// A node that starts now; the seed is of its random times.
+    /// Creates the bootstrap of a node that starts now; `random_seed` is for its random times.
     pub fn new(now: Duration, control: SocketAddr, random_seed: u64) -> Self {
         Self {
-            own: register_position(control),
+            own_position: register_position(control),
             random: StdRng::seed_from_u64(random_seed),
             stage: Stage::Enter,
             next_at: now,
-            is_again: false,
-            entry: Entry::None,
+            is_reentry: false,
+            entry: EntryWrite::None,
             retry_pause: RETRY_PAUSE,
-            answer_pause: ANSWER_PAUSE,
+            answer_timeout: ANSWER_TIMEOUT,
         }
     }
 
-    /// What is to be done now by a node that knows so many others.
+    /// Returns what to do now, given the number of other nodes that this node knows.
     pub fn step(&mut self, now: Duration, peers_count: usize) -> RegisterStep {
         if self.stage != Stage::Done && now < self.next_at {
             return RegisterStep::Wait {
@@ -158,10 +163,10 @@
         }
         match self.stage {
             Stage::Enter => {
-                self.entry = Entry::UnderWay;
+                self.entry = EntryWrite::InProgress;
                 RegisterStep::Enter
             }
-            Stage::ReadPage { .. } if self.is_again && peers_count >= ENOUGH_COUNT => {
+            Stage::ReadPage { .. } if self.is_reentry && peers_count >= ENOUGH_PEERS_COUNT => {
                 self.stage = Stage::Done;
                 RegisterStep::Done
             }
@@ -169,7 +174,7 @@
             Stage::Introduced { found_count } if peers_count < found_count.min(1) => {
                 self.read_random_page()
             }
-            // The first node of all finds nobody, and who comes later finds it.
+            // The very first node finds none; later nodes find it.
             Stage::Introduced { .. } | Stage::Done => {
                 self.stage = Stage::Done;
                 RegisterStep::Done
@@ -177,65 +182,68 @@
         }
     }
 
-    /// The store has taken the entry. If it came back meanwhile, the entry may be in what it lost.
+    /// The store has confirmed the entry. If it was restored meanwhile, it may have lost the entry.
     pub fn on_entered(&mut self, now: Duration) {
         self.retry_pause = RETRY_PAUSE;
-        let entry = std::mem::replace(&mut self.entry, Entry::None);
-        if entry == Entry::Void {
+        let entry = std::mem::replace(&mut self.entry, EntryWrite::None);
+        if entry == EntryWrite::Outdated {
             return;
         }
-        self.stage = Stage::ReadPage { from: self.own };
+        self.stage = Stage::ReadPage {
+            from: self.own_position,
+        };
         self.next_at = now;
     }
 
-    /// The store has come back from a copy, in a fleet of so many nodes. All of them learn it
-    /// within a second, so their entries are spread over time.
+    /// The store was restored from a backup, in a fleet of this many nodes. All of them learn of it
+    /// within a second, so they spread their entries over time.
     pub fn on_store_restored(&mut self, now: Duration, nodes_count: usize) {
-        let is_due = self.stage == Stage::Enter && self.entry != Entry::UnderWay;
-        if self.entry == Entry::UnderWay {
-            self.entry = Entry::Void;
+        let is_scheduled = self.stage == Stage::Enter && self.entry != EntryWrite::InProgress;
+        if self.entry == EntryWrite::InProgress {
+            self.entry = EntryWrite::Outdated;
         }
-        self.is_again = true;
+        self.is_reentry = true;
         self.stage = Stage::Enter;
-        if is_due {
-            // Another return must not put it off for ever.
+        if is_scheduled {
+            // Repeated restores must not postpone the entry for ever.
             return;
         }
         let nodes_count = u32::try_from(nodes_count).unwrap_or(u32::MAX);
-        let most = ENTER_AGAIN_LEAST.max(ENTER_AGAIN_PER_NODE.saturating_mul(nodes_count));
-        self.next_at = now + most.mul_f64(self.random.random());
+        let spread = MIN_REENTRY_SPREAD.max(REENTRY_SPREAD_PER_NODE.saturating_mul(nodes_count));
+        self.next_at = now + spread.mul_f64(self.random.random());
     }
 
-    /// A page was read, and those on it were introduced to.
+    /// A page was read, and this node has introduced itself to the nodes on it.
     ///
-    /// One that was asked for before the store's return says nothing of the register as it is now.
+    /// A page that was requested before a restore of the store is ignored: it says nothing about
+    /// the register as it is now.
     pub fn on_page(&mut self, now: Duration, page: RegisterPageSummary) {
         if !matches!(self.stage, Stage::ReadPage { .. }) {
             return;
         }
         self.retry_pause = RETRY_PAUSE;
         let is_first_page = self.stage == Stage::ReadPage { from: 0 };
-        if page.others_count < ENOUGH_COUNT && page.is_last && !is_first_page {
+        if page.others_count < ENOUGH_PEERS_COUNT && page.is_last && !is_first_page {
             self.stage = Stage::ReadPage { from: 0 };
             self.next_at = now;
             return;
         }
         let found_count = page.others_count;
         self.stage = Stage::Introduced { found_count };
-        self.next_at = now + self.answer_pause;
+        self.next_at = now + self.answer_timeout;
     }
 
-    /// A call brought nothing: it was refused, or had no answer in time. An entry that may
-    /// have been made is made again; that changes nothing.
+    /// A call failed: it was refused, or not answered in time. An entry that may have been written
+    /// is written again, which changes nothing.
     pub fn on_failure(&mut self, now: Duration) {
-        self.entry = Entry::None;
+        self.entry = EntryWrite::None;
         self.next_at = now + self.retry_pause.mul_f64(self.random.random_range(0.5..1.5));
-        self.retry_pause = (self.retry_pause * 2).min(RETRY_PAUSE_MOST);
+        self.retry_pause = (self.retry_pause * 2).min(MAX_RETRY_PAUSE);
     }
 
-    /// All that were found may be hosts that are gone for good, so another page is read.
+    /// Reads another page, since all nodes that were found may be on hosts that no longer exist.
     fn read_random_page(&mut self) -> RegisterStep {
-        self.answer_pause = (self.answer_pause * 2).min(ANSWER_PAUSE_MOST);
+        self.answer_timeout = (self.answer_timeout * 2).min(MAX_ANSWER_TIMEOUT);
         let from = self.random.random();
         self.stage = Stage::ReadPage { from };
         RegisterStep::ReadPage { from }
--- a/crates/kumquatquay-core/src/routed/reported_lives.rs
+++ b/crates/kumquatquay-core/src/routed/reported_lives.rs
@@ -1,4 +1,4 @@
-//! What backend servers of other hosts have told this node about themselves.
+//! Stores what backend servers of other hosts have reported about themselves.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,93 +7,98 @@
     routed::{KnownLimit, RateReport},
 };
 
-/// Lives that are remembered. Only those that named something are, and few do at a time.
+/// Most lives that are kept. Only those that have reported a limit or that they leave are, and few
+/// do at a time.
 const LIVES_LIMIT_COUNT: usize = 1_024;
 
-/// What lives of backend servers told with the answers that this node has passed on.
+/// What backend servers have reported with the answers that this node has passed on, for each
+/// life of a backend server: the time from its start to its end.
 ///
-/// A host that is gone from the members for a while, or whose node starts again, comes back as
-/// the same life, and what it told holds on. A node that has just started may not know yet when
-/// the life of its backend server began: then the id alone tells it.
+/// A host that is missing from the members for a while, or whose node restarts, comes back with
+/// the same life, and what that life has reported stays valid. A node that has just started may
+/// not know yet when the life of its backend server started; then the id alone identifies it.
 #[derive(Debug, Default)]
 pub(super) struct ReportedLives {
-    lives: HashMap<InstanceId, Told>,
+    lives: HashMap<InstanceId, Reported>,
 }
 
-/// What one life told.
+/// What one life has reported.
 #[derive(Clone, Debug)]
-struct Told {
+struct Reported {
     life: BackendLife,
-    at: Duration,
+    reported_at: Duration,
     limit_milli_per_s: Option<u64>,
     is_leaving: bool,
 }
 
 impl ReportedLives {
-    /// Takes in the limit that came with an answer of a life, or that there is none.
+    /// Records the rate limit in an answer of a life; `None` if the answer had none.
     pub(super) fn on_limit(&mut self, now: Duration, life: &BackendLife, rate: Option<RateReport>) {
         if rate.is_none() && self.get(life).is_none() {
             return;
         }
-        let told = self.told_mut(now, life);
-        told.limit_milli_per_s = rate.map(|rate| rate.limit_milli_per_s);
-        if rate.is_none() && !told.is_leaving {
+        let reported = self.entry(now, life);
+        reported.limit_milli_per_s = rate.map(|rate| rate.limit_milli_per_s);
+        if rate.is_none() && !reported.is_leaving {
             self.lives.remove(&life.instance);
         }
     }
 
-    /// A life has said that it leaves, which holds for good.
+    /// Records that a life leaves, which is final.
     pub(super) fn on_leaving(&mut self, now: Duration, life: &BackendLife) {
-        self.told_mut(now, life).is_leaving = true;
+        self.entry(now, life).is_leaving = true;
     }
 
-    /// Whether a life has said that it leaves.
+    /// Whether a life has reported that it leaves.
     pub(super) fn is_leaving(&self, life: &BackendLife) -> bool {
-        self.get(life).is_some_and(|told| told.is_leaving)
+        self.get(life).is_some_and(|reported| reported.is_leaving)
     }
 
-    /// The limit that a life told.
+    /// The rate limit that a life has reported.
     pub(super) fn limit(&self, now: Duration, life: &BackendLife) -> Option<KnownLimit> {
-        let told = self.get(life)?;
+        let reported = self.get(life)?;
         Some(KnownLimit {
-            limit_milli_per_s: told.limit_milli_per_s?,
-            age_ms: now.saturating_sub(told.at).as_millis() as u64,
+            limit_milli_per_s: reported.limit_milli_per_s?,
+            age_ms: now.saturating_sub(reported.reported_at).as_millis() as u64,
         })
     }
 
-    fn get(&self, life: &BackendLife) -> Option<&Told> {
+    fn get(&self, life: &BackendLife) -> Option<&Reported> {
         if self.lives.is_empty() {
             return None;
         }
-        let told = self.lives.get(&life.instance);
-        told.filter(|told| told.life.may_be(life))
+        let reported = self.lives.get(&life.instance);
+        reported.filter(|reported| reported.life.may_be(life))
     }
 
-    fn told_mut(&mut self, now: Duration, life: &BackendLife) -> &mut Told {
-        let new = Told {
+    fn entry(&mut self, now: Duration, life: &BackendLife) -> &mut Reported {
+        let new = Reported {
             life: life.clone(),
-            at: now,
+            reported_at: now,
             limit_milli_per_s: None,
             is_leaving: false,
         };
         if !self.lives.contains_key(&life.instance) {
-            self.make_room();
+            self.evict_oldest();
         }
-        let told = self.lives.entry(life.instance.clone());
-        let told = told.or_insert_with(|| new.clone());
-        if !told.life.may_be(life) {
-            *told = new;
+        let reported = self.lives.entry(life.instance.clone());
+        let reported = reported.or_insert_with(|| new.clone());
+        if !reported.life.may_be(life) {
+            *reported = new;
         }
-        told.at = now;
-        told
+        reported.reported_at = now;
+        reported
     }
 
-    /// Forgets the life that told something longest ago, if there are too many.
-    fn make_room(&mut self) {
+    /// Evicts the life that reported longest ago, if there are too many.
+    fn evict_oldest(&mut self) {
         if self.lives.len() < LIVES_LIMIT_COUNT {
             return;
         }
-        let oldest = self.lives.iter().min_by_key(|(_, told)| told.at);
+        let oldest = self
+            .lives
+            .iter()
+            .min_by_key(|(_, reported)| reported.reported_at);
         if let Some(oldest) = oldest.map(|(instance, _)| instance.clone()) {
             self.lives.remove(&oldest);
         }
--- a/crates/kumquatquay-core/src/routed/request_pipeline.rs
+++ b/crates/kumquatquay-core/src/routed/request_pipeline.rs
@@ -1,23 +1,24 @@
-//! Requests that a caller sends on a connection before the first is answered.
+//! Pipelined requests: those that a caller sends before earlier ones are answered.
 
 use std::collections::VecDeque;
 
-/// What a connection may have under way behind the request that is answered next.
+/// Limits on the requests of a connection that run ahead of their turn.
 #[derive(Clone, Copy, Debug)]
 pub struct PipelineLimits {
-    /// Requests that were started and are not answered.
+    /// Requests that were started and aren't answered.
     pub started_count: usize,
-    /// Bytes of answers that wait for their turn.
+    /// Bytes of answers that are held until it is their turn.
     pub held_bytes: usize,
 }
 
-/// What decides whether a request may run beside others of its connection.
+/// Properties of a request that decide whether it may run concurrently with others of its
+/// connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PipelinedRequest {
-    /// Whether it may run again.
+    /// Whether it may run more than once.
     pub is_idempotent: bool,
-    /// Whether the connection may end with its answer, so that nothing behind it counts as
-    /// read.
+    /// Whether the connection may be closed after its answer, so that later requests count as
+    /// unread.
     pub may_close_connection: bool,
 }
 
@@ -27,23 +28,24 @@
     }
 }
 
-/// The requests of one connection that were read and are not answered.
+/// Requests of one connection that were read and aren't answered.
 ///
-/// It answers the pattern in which a caller sends ten requests of 200 ms at once: one after
-/// the other the last takes two seconds. Those behind the first are started beside it, and
-/// their answers are kept until it is their turn. A request that may run once at most runs
-/// alone, since a caller must be able to tell what was before it; nothing is started behind
-/// one whose answer may end the connection, since callers send again what is behind that.
+/// If a caller pipelines ten requests of 200 ms each and they run sequentially, the last one takes
+/// two seconds. So requests are started ahead of their turn, concurrently with the one that is
+/// answered next, and their answers are held until it is their turn. A request that may run only
+/// once runs alone, since its caller must be able to tell which requests ran before it. Nothing is
+/// started after a request whose answer may close the connection, since callers send again what
+/// comes after that.
 #[derive(Debug)]
 pub struct RequestPipeline<T> {
     limits: PipelineLimits,
-    /// The request that is answered next, once the server has reached it.
+    /// The request that the server answers now.
     answering: Option<PipelinedRequest>,
-    /// Those behind it that were started, in their order.
+    /// Later requests that were started, in order.
     started: VecDeque<Started<T>>,
-    /// Whether the one behind the last that was started waits for its turn.
+    /// Whether the request after the last started one waits for its turn.
     is_paused: bool,
-    /// Whether nothing more is started on this connection.
+    /// Whether no more requests are started on this connection.
     is_closed: bool,
 }
 
@@ -54,7 +56,7 @@
 }
 
 impl<T> RequestPipeline<T> {
-    /// A connection without requests.
+    /// Creates the pipeline of a connection without requests.
     pub fn new(limits: PipelineLimits) -> Self {
         Self {
             limits,
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Whether the request behind the last that was started is to be looked at, while
-    /// answers of so many bytes wait for their turn.
+    /// Whether the request after the last started one may be read ahead, while answers of
+    /// `held_bytes` are held.
     pub fn can_read_ahead(&self, held_bytes: usize) -> bool {
         let last = self.started.back().map(|started| started.request);
         let last = last.or(self.answering);
@@ -77,29 +79,29 @@
             && held_bytes < self.limits.held_bytes
     }
 
-    /// Whether the request that was looked at may be started now; if not it waits for its
-    /// turn, and all behind it with it.
+    /// Whether the request that was read ahead may be started now. If not, it and all later ones
+    /// wait for its turn.
     pub fn may_start(&mut self, request: PipelinedRequest) -> bool {
         self.is_paused |= !request.is_idempotent;
         !self.is_paused && !self.is_closed
     }
 
-    /// It was started; `ticket` brings its answer.
+    /// The request was started; `ticket` yields its answer.
     pub fn start(&mut self, request: PipelinedRequest, ticket: T) {
         self.started.push_back(Started { request, ticket });
     }
 
-    /// The next request waits for its turn, whatever it is.
+    /// Makes the next request wait for its turn, whatever it is.
     pub fn pause(&mut self) {
         self.is_paused = true;
     }
 
-    /// The ticket of the request that the server reaches next, if that was started.
+    /// Ticket of the request that the server reaches next, if that was started.
     pub fn next_started(&self) -> Option<&T> {
         self.started.front().map(|started| &started.ticket)
     }
 
-    /// The server has reached the next request, which was started.
+    /// The server has reached the next request, which was started ahead. Returns its ticket.
     pub fn advance_to_started(&mut self) -> Option<T> {
         let started = self.started.pop_front()?;
         self.answering = Some(started.request);
@@ -107,29 +109,29 @@
         Some(started.ticket)
     }
 
-    /// The server has reached the next request, which was not started.
+    /// The server has reached the next request, which wasn't started ahead.
     pub fn advance_to(&mut self, request: PipelinedRequest) {
         self.answering = Some(request);
         self.is_paused = false;
     }
 
-    /// The request that was reached is answered; whether the connection ends with that.
+    /// The request that was reached is answered. Returns whether to close the connection now.
     ///
-    /// A node that stops wants all connections to end. Where requests behind this one were
-    /// started it ends with the last of them: ended here, they would have run for nothing.
+    /// A node that shuts down wants all connections to be closed. If later requests were started,
+    /// the connection is closed after the last of them: otherwise they would run in vain.
     pub fn on_answered(&mut self, wants_close: bool) -> bool {
         self.answering = None;
         self.is_closed |= wants_close;
         wants_close && self.started.is_empty()
     }
 
-    /// Gives up what was started, and starts nothing more.
+    /// Drops the started requests, and starts no more.
     pub fn abort(&mut self) {
         self.is_closed = true;
         self.started.clear();
     }
 
-    /// Requests that were started and that the server hasn't reached.
+    /// Requests that were started ahead and that the server hasn't reached.
     pub fn started_count(&self) -> usize {
         self.started.len()
     }
--- a/crates/kumquatquay-core/src/routed/route_callers.rs
+++ b/crates/kumquatquay-core/src/routed/route_callers.rs
@@ -1,4 +1,4 @@
-//! Tells routes that people use from those that backend servers call.
+//! Distinguishes routes that outside callers use from those that backend servers call.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,30 +7,30 @@
 
 use kumquatquay_wire::ServiceName;
 
-/// How long a caller's service counts after its last call.
-const LAPSE: Duration = Duration::from_secs(20);
+/// Time for which a service counts as a caller after its last call.
+const EXPIRY: Duration = Duration::from_secs(20);
 
-/// Share of all services from whose hosts calls of outside callers come, at least.
+/// Share of all services from whose hosts a route must be called to count as one of outside
+/// callers.
 ///
-/// Outside callers are spread over all hosts, whatever service runs there; a
-/// backend server's calls come from the hosts of its own service.
-const OUTSIDE_RATIO: f64 = 0.6;
+/// Calls of outside callers come from all hosts, whatever service runs there; calls of a backend
+/// server come from the hosts of its own service.
+const OUTSIDE_MIN_RATIO: f64 = 0.6;
 
-/// Services that must be seen before a route can be one of outside callers.
-const OUTSIDE_LEAST_COUNT: usize = 2;
+/// Least number of services from whose hosts such a route must be called.
+const OUTSIDE_MIN_SERVICES_COUNT: usize = 2;
 
-/// Calls of a route after which all its callers have shown.
+/// Calls of a route until which not all its callers may have been seen.
 ///
-/// Before that, one that comes from the route's own service and from another one is taken to be
-/// of outside callers: a service rarely calls itself. With a few calls a second at each host the
-/// first surge would be over before hosts of most services had called.
+/// Until then, a route that is called from its own service and from another one counts as one of
+/// outside callers, since a service rarely calls itself. With a few calls a second at each host,
+/// the first surge would be over before the hosts of most services had made a call.
 const FIRST_CALLS_COUNT: u32 = 40;
 
-/// Routes that are remembered.
+/// Most routes that are tracked.
 const ROUTES_LIMIT_COUNT: usize = 512;
 
-/// From the hosts of which services each route is called, as the gate of its
-/// service sees it.
+/// Services from whose hosts each route is called, as seen by the gate of the route's service.
 #[derive(Debug, Default)]
 pub struct RouteCallers {
     own_service: Option<ServiceName>,
@@ -40,12 +40,12 @@
 #[derive(Debug, Default)]
 struct Callers {
     calls_count: u32,
-    /// When hosts of each service called last.
+    /// Time of the last call from the hosts of each service.
     services: BTreeMap<ServiceName, Duration>,
 }
 
 impl RouteCallers {
-    /// A census at a gate of this service.
+    /// Creates the callers of the routes of a service, at one of its gates.
     pub fn at(service: impl Into<ServiceName>) -> Self {
         Self {
             own_service: Some(service.into()),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A call of a route came from a host of a service.
+    /// Records a call of a route from a host of a service.
     pub fn record_call(&mut self, now: Duration, route: &str, caller_service: &str) {
         if !self.routes.contains_key(route) {
             if self.routes.len() >= ROUTES_LIMIT_COUNT {
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Whether outside callers use a route, of `services_count` services that there
-    /// are; otherwise backend servers call it, or too little is known.
+    /// Whether outside callers use a route, given the number of services in the fleet. Otherwise
+    /// backend servers call it, or too little is known.
     pub fn is_from_outside(&self, now: Duration, route: &str, services_count: usize) -> bool {
         let Some(callers) = self.routes.get(route) else {
             return false;
         };
-        let is_fresh = |last: &Duration| now < *last + LAPSE;
+        let is_fresh = |last: &Duration| now < *last + EXPIRY;
         let fresh_count = callers
             .services
             .values()
@@ -88,10 +88,11 @@
         let own_service = self.own_service.as_ref();
         let own_called = own_service.and_then(|own| callers.services.get(own));
         let is_first = callers.calls_count < FIRST_CALLS_COUNT;
-        if is_first && own_called.is_some_and(is_fresh) && fresh_count >= OUTSIDE_LEAST_COUNT {
+        if is_first && own_called.is_some_and(is_fresh) && fresh_count >= OUTSIDE_MIN_SERVICES_COUNT
+        {
             return true;
         }
-        let least = (services_count as f64 * OUTSIDE_RATIO).ceil() as usize;
-        fresh_count >= least.max(OUTSIDE_LEAST_COUNT)
+        let min_count = (services_count as f64 * OUTSIDE_MIN_RATIO).ceil() as usize;
+        fresh_count >= min_count.max(OUTSIDE_MIN_SERVICES_COUNT)
     }
 }
--- a/crates/kumquatquay-core/src/routed/route_table.rs
+++ b/crates/kumquatquay-core/src/routed/route_table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a call.
+//! Matches calls to routes.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -12,10 +12,9 @@
 
 use super::{WeightedSplit, Workspaces, request_priority};
 
-/// A configuration, laid out for finding routes.
+/// Routes of a configuration, indexed by host and path prefix.
 ///
-/// A call keeps the table that it began with, so it is handled by one
-/// configuration as a whole.
+/// A call keeps the table that it started with, so a single configuration applies to all of it.
 #[derive(Debug)]
 pub struct RouteTable {
     version: RouteVersion,
@@ -27,20 +26,20 @@
     workspaces: Workspaces,
 }
 
-/// A route and how its calls are split among services.
+/// A route and the split of its calls among services.
 #[derive(Debug)]
 pub struct RouteEntry {
-    /// What operators set.
+    /// Settings of the route in the configuration.
     pub settings: RouteSettings,
-    /// Shares of its destinations.
+    /// Split of the calls among the route's destinations.
     pub split: WeightedSplit,
 }
 
 impl RouteTable {
-    /// Lays out a configuration.
+    /// Creates the table of a configuration.
     ///
-    /// `phase`, from 0 to 1, is where this node begins to split calls; nodes with
-    /// phases of their own keep the shares together even with few calls each.
+    /// `phase`, from 0 to 1, is the position in the split at which this node starts. If nodes have
+    /// different phases, their calls together match the weights even with few calls per node.
     pub fn new(configuration: RouteConfiguration, phase: f64) -> Self {
         let routes = configuration.hosts.iter().flat_map(|host| &host.routes);
         let priorities = routes
@@ -74,12 +73,12 @@
         }
     }
 
-    /// Which configuration this is.
+    /// Version of the configuration.
     pub fn version(&self) -> RouteVersion {
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -89,27 +88,26 @@
         self.services.contains(service)
     }
 
-    /// Path at which backend servers of a service tell their health.
+    /// Path of the health endpoint of a service's backend servers.
     pub fn health_path(&self, service: &str) -> Option<&str> {
         self.health_paths.get(service).map(String::as_str)
     }
 
-    /// Who callers may be.
+    /// Workspaces that callers may belong to.
     pub fn workspaces(&self) -> &Workspaces {
         &self.workspaces
     }
 
-    /// The rank of whole requests on each route, by its name, where the caller's workspace has
-    /// none of its own.
+    /// Priority of the root requests on each route, by route name, for callers whose workspace sets
+    /// no priority.
     pub fn priorities(&self) -> &BTreeMap<String, Priority> {
         &self.priorities
     }
 
-    /// The route of a call: the longest prefix of its host that begins the path.
+    /// Finds the route of a call: the longest path prefix of its host that matches.
     ///
-    /// `host` may carry a port. Prefixes end with a slash, so only the parts of the
-    /// path up to a slash are looked up: a path of seven parts costs seven lookups,
-    /// however many routes there are.
+    /// `host` may include a port. Prefixes end with a slash, so one lookup is made for each slash
+    /// in the path: a path of seven segments costs seven lookups, however many routes there are.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let name = host.split_once(':').map_or(host, |(name, _port)| name);
         let routes = match self.hosts.get(name) {
