--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -111,14 +111,14 @@
     let settings = &node.settings;
     let own = settings.listen.control;
     let readers = StoreReaders::select(own, &settings.data_centre, members.iter());
-    if node.readers.replace(readers) != readers {
+    if node.store_readers.replace(readers) != readers {
         log::info!(event = "store_readers", reads = readers.is_reader,
             readers = readers.count as u64;
             "this node polls the store for others, or relies on those that do");
     }
     let local_readers = StoreReaders::in_data_centre(&settings.data_centre, members.iter());
     let local_readers = local_readers.into_iter().map(|reader| reader.peer);
-    node.near_readers.replace(local_readers.collect());
+    node.local_readers.replace(local_readers.collect());
     let mut targets = node.load_balancer.borrow_mut();
     targets.rebuild(&node.settings.data_centre, members.iter());
 }
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -146,9 +146,9 @@
     /// before the first page.
     pub(crate) register_estimate_count: Cell<usize>,
     /// Whether this node polls the store for others, and how many nodes do.
-    pub(crate) readers: Cell<StoreReaders>,
+    pub(crate) store_readers: Cell<StoreReaders>,
     /// Link addresses of the store readers in this data centre.
-    pub(crate) near_readers: RefCell<Vec<SocketAddr>>,
+    pub(crate) local_readers: RefCell<Vec<SocketAddr>>,
     /// Progress of the shutdown.
     pub(crate) stop: watch::Sender<StopPhase>,
 }
@@ -247,8 +247,8 @@
             held_answers: Cell::new(held_answers),
             nodes_count: Cell::new(1),
             register_estimate_count: Cell::new(0),
-            readers: Cell::default(),
-            near_readers: RefCell::default(),
+            store_readers: Cell::default(),
+            local_readers: RefCell::default(),
             stop: watch::Sender::new(StopPhase::Serving),
         })
     }
@@ -301,7 +301,7 @@
         let estimate_count = self.register_estimate_count.get();
         PollerFleet {
             nodes_count: self.nodes_count.get().max(estimate_count),
-            readers: self.readers.get(),
+            readers: self.store_readers.get(),
         }
     }
 
--- a/crates/kumquatquayd/src/routed/store_polling.rs
+++ b/crates/kumquatquayd/src/routed/store_polling.rs
@@ -90,7 +90,7 @@
 /// since the store may refuse the readers.
 fn ask_reader(node: &Rc<RoutedNode>) {
     let own = node.links_address();
-    let mut others = node.near_readers.borrow().clone();
+    let mut others = node.local_readers.borrow().clone();
     others.retain(|peer| *peer != own);
     if !is_proof_due(node) {
         let reader = others.choose(&mut *node.random.borrow_mut()).copied();
