--- a/crates/kumquatquay-core/tests/routed/backend_liveness.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_liveness.rs
@@ -6,7 +6,7 @@
 
 use crate::at_ms;
 
-const WORK: Duration = Duration::from_millis(40);
+const RUN_TIME: Duration = Duration::from_millis(40);
 
 /// The host of a backend server loses power, so nothing closes its connections. Ten calls hang
 /// until their deadlines, and further ones would hang as well if the silence weren't noticed.
@@ -16,8 +16,8 @@
     for call in 0..10 {
         liveness.call_started(at_ms(call * 5));
     }
-    assert!(!liveness.is_silent(at_ms(500), WORK));
-    assert!(liveness.is_silent(at_ms(700), WORK));
+    assert!(!liveness.is_silent(at_ms(500), RUN_TIME));
+    assert!(liveness.is_silent(at_ms(700), RUN_TIME));
 }
 
 /// A backend server has become five times slower, but still answers one call after the other.
@@ -29,7 +29,7 @@
     }
     for answer in 1..20 {
         let now = at_ms(200 * answer);
-        assert!(!liveness.is_silent(now, WORK));
+        assert!(!liveness.is_silent(now, RUN_TIME));
         liveness.call_ended(now, true);
     }
 }
@@ -39,7 +39,7 @@
 fn a_single_long_call_is_no_silence() {
     let mut liveness = BackendLiveness::default();
     liveness.call_started(at_ms(0));
-    assert!(!liveness.is_silent(at_ms(5_000), WORK));
+    assert!(!liveness.is_silent(at_ms(5_000), RUN_TIME));
 }
 
 /// The end of a call that the node itself gives up doesn't show that the backend server answers.
@@ -50,7 +50,7 @@
         liveness.call_started(at_ms(0));
     }
     liveness.call_ended(at_ms(690), false);
-    assert!(liveness.is_silent(at_ms(700), WORK));
+    assert!(liveness.is_silent(at_ms(700), RUN_TIME));
 }
 
 /// After an idle hour, silence counts from the start of the first call, not from the last answer.
@@ -59,5 +59,5 @@
     let mut liveness = BackendLiveness::default();
     liveness.call_started(at_ms(3_600_000));
     liveness.call_started(at_ms(3_600_001));
-    assert!(!liveness.is_silent(at_ms(3_600_100), WORK));
+    assert!(!liveness.is_silent(at_ms(3_600_100), RUN_TIME));
 }
--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -94,7 +94,7 @@
     }
 
     fn run(&mut self) {
-        self.at(Duration::ZERO, Event::Request);
+        self.schedule(Duration::ZERO, Event::Request);
         let until = at_ms(FAILS_AT_MS + MEASURED_MS);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= until {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
@@ -118,7 +118,7 @@
         let requests_per_s = OFFERED_RATIO * calls_per_s / f64::from(CALLS_COUNT);
         let uniform: f64 = self.random.random_range(1e-9..1.0);
         let next = now + Duration::from_secs_f64(-uniform.ln() / requests_per_s);
-        self.at(next, Event::Request);
+        self.schedule(next, Event::Request);
         if now >= at_ms(FAILS_AT_MS) {
             self.arrived_count += 1;
         }
@@ -138,8 +138,8 @@
             budget.on_requests(now, 1.0);
         }
         let endpoint = balancer.pick(now, "register", excluded, true, &mut self.random);
-        let chosen = endpoint.unwrap().control;
-        let server = (0..SERVERS_COUNT).find(|server| address(*server) == chosen);
+        let picked = endpoint.unwrap().control;
+        let server = (0..SERVERS_COUNT).find(|server| address(*server) == picked);
         let server = server.unwrap();
         self.servers[server].waiting.push_back(call);
         self.begin(now, server);
@@ -157,7 +157,7 @@
                 return;
             };
             self.servers[server].running_count += 1;
-            self.at(now + at_ms(run_time_ms), Event::Ended { server, call });
+            self.schedule(now + at_ms(run_time_ms), Event::Ended { server, call });
         }
     }
 
--- a/crates/kumquatquay-core/tests/routed/retry_budget.rs
+++ b/crates/kumquatquay-core/tests/routed/retry_budget.rs
@@ -10,7 +10,7 @@
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// Makes a retry if the budget has room for it.
-fn take(budget: &mut RetryBudget, now: Duration) -> bool {
+fn try_retry(budget: &mut RetryBudget, now: Duration) -> bool {
     let has_room = budget.has_room(now, 1.0);
     if has_room {
         budget.on_retries(now, 1.0);
@@ -24,17 +24,19 @@
     for request in 0..50 {
         budget.on_requests(at_ms(request), 1.0);
     }
-    let taken = (0..100).filter(|_| take(&mut budget, at_ms(60))).count();
-    assert_eq!(taken, 13);
+    let retries_count = (0..100)
+        .filter(|_| try_retry(&mut budget, at_ms(60)))
+        .count();
+    assert_eq!(retries_count, 13);
 }
 
 #[test]
 fn retries_no_longer_count_when_their_window_has_passed() {
     let mut budget = RetryBudget::new(WINDOW, 0.2, 2.0);
-    assert!(take(&mut budget, at_ms(0)));
-    assert!(take(&mut budget, at_ms(0)));
-    assert!(!take(&mut budget, at_ms(9_900)));
-    assert!(take(&mut budget, at_ms(11_100)));
+    assert!(try_retry(&mut budget, at_ms(0)));
+    assert!(try_retry(&mut budget, at_ms(0)));
+    assert!(!try_retry(&mut budget, at_ms(9_900)));
+    assert!(try_retry(&mut budget, at_ms(11_100)));
 }
 
 quickcheck! {
@@ -46,7 +48,7 @@
         let mut retries: Vec<Duration> = Vec::new();
         for step_ms in steps_ms {
             now += Duration::from_millis(u64::from(step_ms) % 4_000);
-            if take(&mut budget, now) {
+            if try_retry(&mut budget, now) {
                 retries.push(now);
             }
         }
--- a/crates/kumquatquay-core/tests/routed/route_run_times.rs
+++ b/crates/kumquatquay-core/tests/routed/route_run_times.rs
@@ -7,10 +7,10 @@
 
 use crate::at_ms;
 
-fn run(route: &str, work_ms: u64) -> RouteRunTime<'_> {
+fn run(route: &str, run_time_ms: u64) -> RouteRunTime<'_> {
     RouteRunTime {
         route,
-        run_time: at_ms(work_ms),
+        run_time: at_ms(run_time_ms),
     }
 }
 
@@ -31,7 +31,7 @@
 #[test]
 fn each_route_has_its_own_run_time() {
     let run_times = mixed();
-    let deviation = |route, work_ms| run_times.estimate(route).abs_diff(at_ms(work_ms));
+    let deviation = |route, run_time_ms| run_times.estimate(route).abs_diff(at_ms(run_time_ms));
     assert!(deviation("times", 880) < at_ms(1));
     assert!(deviation("quote", 55) < at_ms(1));
 }
@@ -67,10 +67,10 @@
     /// shortest and the longest run time.
     fn the_mean_is_within_bounds_for_any_routes(runs: Vec<(u16, u16)>) -> bool {
         let mut run_times = RouteRunTimes::default();
-        for (route, work_ms) in &runs {
-            run_times.record(run(&route.to_string(), u64::from(*work_ms)));
+        for (route, run_time_ms) in &runs {
+            run_times.record(run(&route.to_string(), u64::from(*run_time_ms)));
         }
-        let times = runs.iter().map(|(_, work_ms)| at_ms(u64::from(*work_ms)));
+        let times = runs.iter().map(|(_, run_time_ms)| at_ms(u64::from(*run_time_ms)));
         let (Some(shortest), Some(longest)) = (times.clone().min(), times.max()) else {
             return !run_times.is_known();
         };
--- a/crates/kumquatquay-core/tests/routed/work_based_load.rs
+++ b/crates/kumquatquay-core/tests/routed/work_based_load.rs
@@ -23,16 +23,17 @@
 
 /// Kinds of requests that together need `load_ratio` times the slots.
 fn kinds(load_ratio: f64) -> [Kind; 3] {
-    let kind = |route, rank, requests_per_s, calls_count, work_ms, target_ms, timeout_ms| Kind {
-        route,
-        rank,
-        requests_per_s,
-        calls_count,
-        work: Duration::from_millis(work_ms),
-        target_latency: Duration::from_millis(target_ms),
-        call_target_latency: Duration::from_millis(target_ms),
-        timeout: Duration::from_millis(timeout_ms),
-    };
+    let kind =
+        |route, rank, requests_per_s, calls_count, run_time_ms, target_ms, timeout_ms| Kind {
+            route,
+            rank,
+            requests_per_s,
+            calls_count,
+            work: Duration::from_millis(run_time_ms),
+            target_latency: Duration::from_millis(target_ms),
+            call_target_latency: Duration::from_millis(target_ms),
+            timeout: Duration::from_millis(timeout_ms),
+        };
     let kinds = [
         kind("booking", 0, 205.0, 4, 55, 2_000, 6_000),
         kind("quote", 1, 585.0, 8, 55, 1_500, 5_000),
@@ -74,11 +75,13 @@
         .clone()
         .map(|(kind, outcome)| mesh.slots_of(kind, outcome.served_count()))
         .collect();
-    let mut room = used_slots.iter().sum::<f64>();
+    let mut remaining_slots = used_slots.iter().sum::<f64>();
     let mut misplaced = 0.0;
     for (kind, outcome) in outcomes {
-        let share = mesh.slots_of(kind, outcome.offered_count).min(room);
-        room -= share;
+        let share = mesh
+            .slots_of(kind, outcome.offered_count)
+            .min(remaining_slots);
+        remaining_slots -= share;
         misplaced += (share - used_slots[kind]).max(0.0);
     }
     SlotUse {
