--- a/crates/kumquatquay-core/src/quota/borrowers.rs
+++ b/crates/kumquatquay-core/src/quota/borrowers.rs
@@ -1,4 +1,4 @@
-//! Which nodes keep quotas.
+//! Selects the nodes to which quotas are lent.
 
 use std::net::SocketAddr;
 
@@ -7,51 +7,52 @@
     routed::{HALVES_COUNT, SLICES_COUNT, SliceSets},
 };
 
-/// Nodes for each borrower of a half.
+/// Number of nodes per borrower of a half.
 const NODES_PER_BORROWER: usize = 64;
 
-/// Nodes up to which the second half of what each owns is kept for all data centres together. In
-/// a larger fleet its borrowers would need links to thousands of nodes, and each data centre has so
-/// many that what comes in there evens out.
+/// Largest fleet in which all data centres share the borrowers of the second half. In a larger
+/// fleet those borrowers would need links to thousands of nodes, and each data centre has so many
+/// nodes that the load there evens out.
 const SHARED_NODES_LIMIT_COUNT: usize = 256;
 
-/// The half that is kept for all data centres together where there are few nodes.
+/// Half whose borrowers are shared by all data centres in a small fleet.
 const SHARED_HALF: usize = 1;
 
-/// The borrowers of quotas, as one node sees the members.
+/// The borrowers of quotas, selected from the members that one node sees.
 ///
-/// The first half of what a node owns goes to a borrower of its data centre, which is asked first;
-/// the second one to a borrower of all, who has tokens for data centres that need more than their
-/// nodes own. A data centre that is cut off finds borrowers among its own nodes.
+/// The first half of what a node owns is lent to a borrower in its data centre, which is asked for
+/// tokens first. The second half is lent to a borrower shared by all data centres, which has tokens
+/// for data centres that need more than their nodes own. A data centre that is cut off selects
+/// borrowers among its own nodes.
 ///
-/// They are found by rank, without an election: two nodes may name other borrowers for a while,
-/// and what each lends counts once all the same.
+/// Borrowers are selected by rank, without an election. Two nodes may select different borrowers
+/// for a while, but each lends its part only once.
 ///
-/// Ranks are worked out anew only when the members have changed: each takes a hash, and they are
-/// looked at a few times a second on every node, idle or not.
+/// Ranks are recomputed only when the members have changed: each rank takes a hash, and every
+/// node, idle or not, refreshes them a few times a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Borrowers {
     members: Vec<Candidate>,
     ranked: [Vec<Borrower>; HALVES_COUNT],
 }
 
-/// A member that may keep quotas.
+/// A member that may become a borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Candidate {
     borrower: Borrower,
-    /// Whether it is of the own data centre.
-    is_near: bool,
+    /// Whether it is in the data centre of this node.
+    is_local: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Borrower {
     control: SocketAddr,
-    /// Where it takes calls.
+    /// Address at which it accepts calls.
     peer: SocketAddr,
 }
 
 impl Borrowers {
-    /// Ranks the members, as a node of a data centre sees them.
+    /// Selects the borrowers from the members that a node of a data centre sees.
     pub fn from_members<'a>(
         data_centre: &str,
         members: impl Iterator<Item = &'a MemberRecord>,
@@ -61,7 +62,7 @@
         borrowers
     }
 
-    /// Ranks the members as they are now; whether anything has changed.
+    /// Selects the borrowers again if the members have changed. Returns whether they have.
     pub fn refresh<'a>(
         &mut self,
         data_centre: &str,
@@ -73,26 +74,26 @@
                 control: member.control,
                 peer: member.peer,
             },
-            is_near: member.data_centre == data_centre,
+            is_local: member.data_centre == data_centre,
         });
         let live: Vec<Candidate> = live.collect();
         if live == self.members {
             return false;
         }
         let is_shared = live.len() <= SHARED_NODES_LIMIT_COUNT;
-        let near = live.iter().filter(|member| member.is_near);
-        let second = live.iter().filter(|member| is_shared || member.is_near);
-        self.ranked = [ranked(near, 0), ranked(second, SHARED_HALF)];
+        let local = live.iter().filter(|member| member.is_local);
+        let second = live.iter().filter(|member| is_shared || member.is_local);
+        self.ranked = [ranked(local, 0), ranked(second, SHARED_HALF)];
         self.members = live;
         true
     }
 
-    /// Where the borrower of a half and slice takes calls.
+    /// Address at which the borrower of a half and slice accepts calls.
     pub fn borrower(&self, half: usize, slice: usize) -> Option<SocketAddr> {
         self.ranked_for(half, slice).map(|borrower| borrower.peer)
     }
 
-    /// What a node keeps.
+    /// Halves and slices whose borrower is a node.
     pub fn borrowed_by(&self, control: SocketAddr) -> SliceSets {
         let mut borrowed = SliceSets::default();
         for half in 0..HALVES_COUNT {
@@ -106,9 +107,9 @@
         borrowed
     }
 
-    /// What a node that keeps this much asks another one to lend.
-    pub fn requested_from(wanted: SliceSets, is_near: bool) -> SliceSets {
-        if is_near {
+    /// What a borrower requests from another node, which is in its data centre if `is_local`.
+    pub fn requested_from(wanted: SliceSets, is_local: bool) -> SliceSets {
+        if is_local {
             wanted
         } else {
             wanted.of_half(SHARED_HALF)
@@ -117,14 +118,14 @@
 
     fn ranked_for(&self, half: usize, slice: usize) -> Option<Borrower> {
         let ranked = &self.ranked[half];
-        let place = slice.checked_rem(ranked.len())?;
-        Some(ranked[place])
+        let index = slice.checked_rem(ranked.len())?;
+        Some(ranked[index])
     }
 }
 
 fn is_live(member: &MemberRecord) -> bool {
-    let is_live = !matches!(member.state, MemberState::Gone | MemberState::Draining);
-    is_live && !member.is_suspect
+    let is_active = !matches!(member.state, MemberState::Gone | MemberState::Draining);
+    is_active && !member.is_suspect
 }
 
 fn ranked<'a>(members: impl Iterator<Item = &'a Candidate>, half: usize) -> Vec<Borrower> {
@@ -136,7 +137,7 @@
     ranked.into_iter().map(|(_, borrower)| borrower).collect()
 }
 
-/// Ranks of each half are other ones, so that a node mostly keeps one of them.
+/// Rank of a node, which differs between the halves, so that few nodes borrow both.
 fn rank(control: SocketAddr, half: usize) -> [u8; 8] {
     let hash = blake3::hash(control.to_string().as_bytes());
     let from = 16 + 8 * half;
--- a/crates/kumquatquay-core/src/quota/lender.rs
+++ b/crates/kumquatquay-core/src/quota/lender.rs
@@ -1,22 +1,23 @@
-//! What a node owns of each quota, and to whom it is lent.
+//! Lends a node's part of each quota.
 
 use std::{net::SocketAddr, time::Duration};
 
 use kumquatquay_wire::routed::{HALVES_COUNT, SLICES_COUNT, SliceSets};
 
-/// How long a loan lasts. A borrower asks again well before its end; one that is gone takes what
-/// was lent to it along for so long.
+/// Duration of a loan. A borrower renews it well before its end; what was lent to a borrower that
+/// has failed is unusable until then.
 pub const LOAN_DURATION: Duration = Duration::from_millis(600);
 
-/// Time after a node's start in which it owns nothing: what it lent in its life before may
-/// still be used.
+/// Time after a node's start in which it owns nothing: what it lent before the restart may still
+/// be in use.
 const OWNS_NOTHING_DURATION: Duration = LOAN_DURATION;
 
-/// What a node owns of each quota, and to whom it is lent.
+/// The part of each quota that a node owns, and the loans of it. It is divided into halves, and
+/// each half into slices of the workspaces.
 ///
-/// Each part is lent to one borrower at a time. Nodes that see other members may name other
-/// keepers, and a borrower that is taken for dead may still let requests in; what it lets them in
-/// by is its alone until its loan is over.
+/// Each slice is lent to one borrower at a time. Nodes that see different members may select
+/// different borrowers, and a borrower that is considered dead may still admit requests; what it
+/// admits them with is lent to nobody else until its loan ends.
 #[derive(Debug)]
 pub struct Lender {
     owns_from: Duration,
@@ -30,7 +31,7 @@
 }
 
 impl Lender {
-    /// A node that starts now.
+    /// Creates the lender of a node that starts now.
     pub fn new(now: Duration) -> Self {
         Self {
             owns_from: now + OWNS_NOTHING_DURATION,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Lends a borrower what it asks for, as far as that isn't lent to another one.
+    /// Lends a borrower what it wants, unless that is lent to another one. Returns what was lent.
     pub fn lend(&mut self, now: Duration, borrower: SocketAddr, wanted: SliceSets) -> SliceSets {
         let mut granted = SliceSets::default();
         if now < self.owns_from {
@@ -58,7 +59,7 @@
         granted
     }
 
-    /// What isn't lent now.
+    /// What isn't lent now; nothing while the node owns nothing.
     pub fn unlent(&self, now: Duration) -> SliceSets {
         let mut unlent = SliceSets::default();
         if now < self.owns_from {
--- a/crates/kumquatquay-core/src/quota/limit.rs
+++ b/crates/kumquatquay-core/src/quota/limit.rs
@@ -1,35 +1,35 @@
-//! What a quota lets in.
+//! Token bucket of a quota.
 
 use kumquatquay_wire::routed::Quota;
 
-/// Part of the room for error that is used. The rest is left for requests that are counted
-/// otherwise than here.
+/// Share of the tolerance that is used. The rest is for requests that others count differently
+/// than this node.
 const USED_RATIO: f64 = 0.8;
 
-/// By how much a quota may be passed.
+/// Tolerance by which a quota may be exceeded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTolerance {
-    /// Share of what a quota lets in within a window.
+    /// Excess as a share of what the quota admits within a window.
     pub overage_ratio: f64,
-    /// Requests besides that share.
+    /// Requests in addition to that share.
     pub extra_count: f64,
 }
 
-/// A bucket: how fast tokens come, and how many it holds.
+/// Rate and capacity of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate_per_s: f64,
-    /// Tokens that it holds.
+    /// Tokens that the bucket holds at most.
     pub depth_count: f64,
 }
 
 impl QuotaLimit {
-    /// The bucket of a quota.
+    /// The bucket of a quota, extended by a tolerance.
     ///
-    /// What keepers have doesn't follow at once where requests come in, and those that a quota
-    /// allows must not be refused for that. So room for error is used, such that no window holds
-    /// more than is allowed.
+    /// The parts that borrowers hold don't immediately follow the place at which requests arrive,
+    /// and requests within the quota must not be refused because of that. So part of the tolerance
+    /// is used, such that no window admits more than is allowed.
     pub fn of(quota: Quota, slack: Option<QuotaTolerance>) -> Self {
         let Some(slack) = slack else {
             return Self {
--- a/crates/kumquatquay-core/src/quota/node_quotas.rs
+++ b/crates/kumquatquay-core/src/quota/node_quotas.rs
@@ -1,4 +1,4 @@
-//! What one node owns, lends and keeps.
+//! Quotas of one node, as lender and as borrower.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -9,12 +9,12 @@
 
 use super::{Lender, Loan, QuotaExceeded, QuotaLimit, QuotaPool};
 
-/// Stands for the node itself, as a borrower of what nobody has asked it to lend.
+/// Lender address that stands for what this node owns and hasn't lent.
 const UNLENT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// What one node owns, lends and keeps.
+/// Quotas of one node: what it owns and lends, and what others lend to it.
 ///
-/// All times are of one clock that also counts while the host is suspended.
+/// All times are of one clock that also advances while the host is suspended.
 #[derive(Debug)]
 pub struct NodeQuotas {
     lender: Lender,
@@ -22,7 +22,7 @@
 }
 
 impl NodeQuotas {
-    /// A node that starts now.
+    /// Creates the quotas of a node that starts now.
     pub fn new(now: Duration) -> Self {
         Self {
             lender: Lender::new(now),
@@ -30,8 +30,10 @@
         }
     }
 
-    /// Lends a borrower what it asks for. `nodes_count` is among how many nodes quotas are split;
-    /// while that isn't known, nothing is lent.
+    /// Lends a borrower what it wants, as far as possible. Returns what was lent.
+    ///
+    /// `nodes_count` is the number of nodes among which quotas are split; while it isn't known,
+    /// nothing is lent.
     pub fn lend(
         &mut self,
         now: Duration,
@@ -47,7 +49,8 @@
         granted
     }
 
-    /// What isn't lent counts for this node; to be said again before a loan's time is over.
+    /// Lets this node use what it doesn't lend. To be repeated before
+    /// [`LOAN_DURATION`](super::LOAN_DURATION) has passed.
     pub fn use_unlent(&mut self, now: Duration, nodes_count: Option<usize>) {
         let granted = match nodes_count {
             Some(_) => self.lender.unlent(now),
@@ -61,19 +64,21 @@
         self.pool.set_loan(now, UNLENT, loan);
     }
 
-    /// Another node, or this one, lends this much. A loan that was asked for in the future, or of
-    /// a fleet without nodes, makes no sense and is passed over.
+    /// Another node, or this one, has granted a loan to this node.
+    ///
+    /// An implausible loan is ignored: one that was asked for in the future, or in a fleet without
+    /// nodes.
     pub fn on_loan(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
         if loan.asked <= now && loan.nodes_count > 0 {
             self.pool.set_loan(now, lender, loan);
         }
     }
 
-    /// Takes a token for a request of a workspace from what is kept here.
+    /// Takes a token for a request of a workspace from the pool of this node.
     ///
     /// # Errors
     ///
-    /// [`QuotaExceeded`] if there is none.
+    /// [`QuotaExceeded`] if there is no token.
     pub fn try_take(
         &mut self,
         now: Duration,
@@ -83,17 +88,17 @@
         self.pool.try_take(now, workspace, limit)
     }
 
-    /// A request for which a token was taken has not run.
+    /// Returns a token of a request that hasn't run.
     pub fn return_token(&mut self, now: Duration, workspace: &str, limit: QuotaLimit) {
         self.pool.return_token(now, workspace, limit);
     }
 
-    /// Part of a workspace's quota that counts for this node now.
+    /// Share of a workspace's quota that this node may use now.
     pub fn share(&mut self, now: Duration, workspace: &str) -> f64 {
         self.pool.share(now, workspace)
     }
 
-    /// Forgets workspaces that are no more.
+    /// Removes workspaces that no longer exist.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.pool.retain(is_known);
     }
--- a/crates/kumquatquay-core/src/quota/pool.rs
+++ b/crates/kumquatquay-core/src/quota/pool.rs
@@ -1,4 +1,4 @@
-//! Tokens of a keeper.
+//! Token buckets of a borrower.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,65 +11,65 @@
 use super::{
     lender::LOAN_DURATION,
     limit::QuotaLimit,
-    slices::{part_of, slice_of},
+    slices::{share_of, slice_of},
 };
 
-/// Parts of a quota that add up to a whole token miss it by less.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding: parts of a quota that add up to one token may fall short of it by less.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What another node lends.
+/// Loan of a part of each quota from one node to another.
 #[derive(Clone, Copy, Debug)]
 pub struct Loan {
-    /// What it has granted.
+    /// What is lent.
     pub granted: SliceSets,
-    /// When it was asked, by the clock of the keeper.
+    /// When the borrower asked for it, by the borrower's clock.
     pub asked: Duration,
-    /// Nodes among which quotas are split, as the lender knows them.
+    /// Number of nodes among which quotas are split, as known to the lender.
     pub nodes_count: usize,
 }
 
-/// A request is beyond the quota of its workspace.
+/// The quota of a request's workspace is exceeded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaExceeded {
-    /// When there is a token again; `None` while nothing is lent.
+    /// Time until there is a token; `None` while nothing is lent.
     pub wait: Option<Duration>,
-    /// Part of the quota that is lent to this keeper.
+    /// Share of the quota that is lent to this borrower.
     pub share: f64,
 }
 
-/// Tokens for requests of all workspaces, as far as other nodes lend what they own.
+/// Token buckets of all workspaces, fed by what other nodes lend.
 ///
-/// A bucket exists from the first request of its workspace on, and holds what it would hold had
-/// it been there, empty, from the keeper's start.
+/// A bucket is created with the first request of its workspace, and holds the tokens that it would
+/// hold if it had existed, initially empty, since the borrower's start.
 #[derive(Debug, Default)]
 pub struct QuotaPool {
-    /// What is lent, with the end of the loan.
+    /// Loans by lender, each with its end.
     loans: BTreeMap<SocketAddr, (Loan, Duration)>,
     slices: [SliceShare; SLICES_COUNT],
-    /// Until when the shares of the slices hold.
+    /// Until when the shares of the slices are valid: the end of the first loan that ends.
     shares_until: Duration,
-    advanced: Duration,
+    /// Until when the integrals of the shares are computed.
+    advanced_until: Duration,
     buckets: HashMap<WorkspaceName, Bucket>,
 }
 
-/// What is lent of a slice.
+/// Share of the quotas of a slice that is lent to this borrower.
 #[derive(Clone, Copy, Debug, Default)]
 struct SliceShare {
-    /// Part of each quota.
     share: f64,
-    /// Its sum over time, in shares times seconds.
-    sum_s: f64,
+    /// Integral of the share over time, in seconds.
+    integral_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     tokens_count: f64,
-    /// The slice's sum at which it was filled last.
-    refilled_at_sum_s: f64,
+    /// Integral of the slice's share when the bucket was last refilled.
+    refilled_at_s: f64,
 }
 
 impl QuotaPool {
-    /// A node lends this much, in place of what it lent before.
+    /// Sets the loan of a lender, in place of its previous one.
     pub fn set_loan(&mut self, now: Duration, lender: SocketAddr, loan: Loan) {
         self.advance(now);
         let until = loan.asked + LOAN_DURATION;
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// [`QuotaExceeded`] if there is none.
+    /// [`QuotaExceeded`] if there is no token.
     pub fn try_take(
         &mut self,
         now: Duration,
@@ -95,7 +95,7 @@
         self.advance(now);
         let share = self.slices[slice_of(workspace)].share;
         let bucket = self.refilled_bucket(workspace, limit);
-        if bucket.tokens_count >= 1.0 - ROUNDING {
+        if bucket.tokens_count >= 1.0 - ROUNDING_TOLERANCE {
             bucket.tokens_count -= 1.0;
             return Ok(());
         }
@@ -105,7 +105,7 @@
         Err(QuotaExceeded { wait, share })
     }
 
-    /// A request for which a token was taken has not run.
+    /// Returns a token of a request that hasn't run.
     pub fn return_token(&mut self, now: Duration, workspace: &str, limit: QuotaLimit) {
         self.advance(now);
         let depth_count = limit.depth_count * self.slices[slice_of(workspace)].share;
@@ -113,17 +113,18 @@
         bucket.tokens_count = (bucket.tokens_count + 1.0).min(depth_count);
     }
 
-    /// Part of a workspace's quota that is lent to this keeper now.
+    /// Share of a workspace's quota that is lent to this borrower now.
     pub fn share(&mut self, now: Duration, workspace: &str) -> f64 {
         self.advance(now);
         self.slices[slice_of(workspace)].share
     }
 
-    /// Forgets workspaces that are no more.
+    /// Removes workspaces that no longer exist.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.buckets.retain(|workspace, _| is_known(workspace));
     }
 
+    /// The bucket of a workspace, refilled up to now.
     fn refilled_bucket(&mut self, workspace: &str, limit: QuotaLimit) -> &mut Bucket {
         let slice = self.slices[slice_of(workspace)];
         if !self.buckets.contains_key(workspace) {
@@ -131,24 +132,24 @@
             self.buckets.insert(name, Bucket::default());
         }
         let bucket = self.buckets.get_mut(workspace);
-        let bucket = bucket.expect("it was put in just now");
-        let added = limit.rate_per_s * (slice.sum_s - bucket.refilled_at_sum_s);
-        bucket.refilled_at_sum_s = slice.sum_s;
-        // What a smaller share holds is all that is left when loans have ended.
+        let bucket = bucket.expect("the bucket was inserted above");
+        let added = limit.rate_per_s * (slice.integral_s - bucket.refilled_at_s);
+        bucket.refilled_at_s = slice.integral_s;
+        // When loans have ended, the capacity shrinks with the share, and excess tokens are lost.
         let depth_count = limit.depth_count * slice.share;
         bucket.tokens_count = (bucket.tokens_count + added).min(depth_count);
         bucket
     }
 
-    /// Lets time pass: shares hold until the first loan ends.
+    /// Advances the integrals of the shares to `now`, in steps that end with a loan.
     fn advance(&mut self, now: Duration) {
-        while self.advanced < now {
-            let until = self.shares_until.min(now).max(self.advanced);
-            let passed_s = (until - self.advanced).as_secs_f64();
+        while self.advanced_until < now {
+            let until = self.shares_until.min(now).max(self.advanced_until);
+            let elapsed_s = (until - self.advanced_until).as_secs_f64();
             for slice in &mut self.slices {
-                slice.sum_s += slice.share * passed_s;
+                slice.integral_s += slice.share * elapsed_s;
             }
-            self.advanced = until;
+            self.advanced_until = until;
             if until < now || self.shares_until <= now {
                 self.loans.retain(|_, (_, end)| *end > until);
                 self.recompute_shares(until);
@@ -156,6 +157,7 @@
         }
     }
 
+    /// Recomputes the shares from the loans that haven't ended.
     fn recompute_shares(&mut self, now: Duration) {
         self.slices.iter_mut().for_each(|slice| slice.share = 0.0);
         self.shares_until = Duration::MAX;
@@ -163,10 +165,10 @@
             self.shares_until = self.shares_until.min(*until);
             let owned = 1.0 / loan.nodes_count.max(1) as f64;
             for (number, slice) in self.slices.iter_mut().enumerate() {
-                slice.share += owned * part_of(loan.granted, number);
+                slice.share += owned * share_of(loan.granted, number);
             }
         }
-        // Lenders that know too few nodes lend more than there is.
+        // Lenders that know too few nodes lend more than the quota.
         for slice in &mut self.slices {
             slice.share = slice.share.min(1.0);
         }
