--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 struct RouteState {
     /// By the service whose gates reported it, as a route may be split among services.
-    known: BTreeMap<ServiceName, PooledEstimates>,
+    updates: BTreeMap<ServiceName, PooledEstimates>,
     offered: OfferedLoad,
 }
 
@@ -102,15 +102,15 @@
 
     /// Records the report of a gate of a service.
     pub fn on_gate(&mut self, now: Duration, service: &str, gate: SocketAddr, report: &GateReport) {
-        if let Some(known) = self.service_mut(service) {
-            known.on_gate(now, gate, report);
+        if let Some(levels) = self.service_mut(service) {
+            levels.on_gate(now, gate, report);
         }
     }
 
     /// Records the level of a service that another node reports.
     pub fn on_pressure(&mut self, now: Duration, pressure: &ServicePressure) {
-        if let Some(known) = self.service_mut(&pressure.service) {
-            known.on_pressure(now, pressure);
+        if let Some(levels) = self.service_mut(&pressure.service) {
+            levels.on_pressure(now, pressure);
         }
     }
 
@@ -131,17 +131,17 @@
         route: &str,
         service: &str,
         gate: SocketAddr,
-        news: RouteNews,
+        update: RouteNews,
     ) -> bool {
-        if !is_plausible(&news, |service| self.reported_run_time_s(now, service)) {
+        if !is_plausible(&update, |service| self.reported_run_time_s(now, service)) {
             return false;
         }
         if !self.routes.contains_key(route) && self.routes.len() >= MAX_TRACKED_COUNT {
             return true;
         }
-        let known = &mut self.routes.entry(String::from(route)).or_default().known;
-        let known = known.entry(ServiceName::from(service)).or_default();
-        known.record(now, gate, news);
+        let updates = &mut self.routes.entry(String::from(route)).or_default().updates;
+        let pooled = updates.entry(ServiceName::from(service)).or_default();
+        pooled.record(now, gate, update);
         true
     }
 
@@ -149,22 +149,22 @@
 
     /// Whether a route is used by callers from outside; `None` if nothing is known of it.
     pub fn is_from_outside(&self, now: Duration, route: &str) -> Option<bool> {
-        let mut known = self.known(now, route).peekable();
-        known.peek()?;
-        Some(known.any(|(_, news)| news.is_from_outside))
+        let mut updates = self.updates(now, route).peekable();
+        updates.peek()?;
+        Some(updates.any(|(_, update)| update.is_from_outside))
     }
 
     /// Calls that one run of a route at a service causes at each service, its own run included.
     pub fn demands(&self, now: Duration, route: &str, service: &str) -> &[ServiceDemand] {
-        self.known_at(now, route, service)
-            .map_or(&[], |news| &news.leads_to)
+        self.update_at(now, route, service)
+            .map_or(&[], |update| &update.leads_to)
     }
 
     /// Mean of [`demands`](Self::demands) over the services among which a route is split.
     pub fn all_demands(&self, now: Duration, route: &str) -> Vec<ServiceDemand> {
-        let known: Vec<&RouteNews> = self.known(now, route).map(|(_, news)| news).collect();
-        let share = 1.0 / known.len().max(1) as f32;
-        let all = known.into_iter().flat_map(|news| &news.leads_to);
+        let updates: Vec<&RouteNews> = self.updates(now, route).map(|(_, update)| update).collect();
+        let share = 1.0 / updates.len().max(1) as f32;
+        let all = updates.into_iter().flat_map(|update| &update.leads_to);
         all.map(|demand| demand.scaled(share)).collect()
     }
 
@@ -202,7 +202,7 @@
 
     /// Levels of these services to report to other nodes; expired ones are left out.
     pub fn pressures(&self, now: Duration, leads_to: &[ServiceDemand]) -> Vec<ServicePressure> {
-        let known = leads_to.iter().filter_map(|demand| {
+        let pressures = leads_to.iter().filter_map(|demand| {
             let service = &demand.service;
             let report = self.services.get(service)?.current(now)?;
             let age = now.saturating_sub(report.reported_at);
@@ -212,7 +212,7 @@
                 age_ms: age.as_millis() as u32,
             })
         });
-        known.collect()
+        pressures.collect()
     }
 
     // Decisions
@@ -236,11 +236,11 @@
             return Ok(());
         };
         route.offered.on_request(now, request.priority);
-        let news = self.known_at(now, request.route, request.service);
-        let Some(news) = news.filter(|news| news.is_from_outside) else {
+        let update = self.update_at(now, request.route, request.service);
+        let Some(update) = update.filter(|update| update.is_from_outside) else {
             return Ok(());
         };
-        let reached = news.leads_to.iter();
+        let reached = update.leads_to.iter();
         let reached = reached.filter(|demand| demand.calls >= MIN_CALLS_COUNT);
         for demand in reached {
             self.admit_at(now, &demand.service, request, route_priorities)?;
@@ -255,13 +255,13 @@
         request: &EntryRequest<'_>,
         route_priorities: &BTreeMap<String, Priority>,
     ) -> Result<(), Shortage> {
-        let (Some(known), Some((level, age))) =
+        let (Some(levels), Some((level, age))) =
             (self.services.get(service), self.level(now, service))
         else {
             return Ok(());
         };
-        let duration = known.shortage_duration(now, level);
-        let held_level = known.held_level(now, level);
+        let duration = levels.shortage_duration(now, level);
+        let held_level = levels.held_level(now, level);
         if level >= 1.0 {
             return Ok(());
         }
@@ -287,12 +287,12 @@
         route_priorities: &BTreeMap<String, Priority>,
     ) -> LoadOrder {
         let (mut higher, mut same, mut all) = (0.0, 0.0, 0.0);
-        for (route, levels) in &self.routes {
+        for (route, state) in &self.routes {
             let Some(priority) = route_priorities.get(route).copied() else {
                 continue;
             };
-            let work_s = self.request_work_s(now, levels, service);
-            for offered in levels.offered.priorities(now, priority) {
+            let work_s = self.request_work_s(now, state, service);
+            for offered in state.offered.priorities(now, priority) {
                 let load = work_s * offered.requests_count;
                 all += load;
                 if offered.priority < request.priority {
@@ -317,25 +317,25 @@
 
     /// Work that a request of a route causes at a service, in seconds.
     fn request_work_s(&self, now: Duration, route: &RouteState, service: &str) -> f64 {
-        let known = route.known.values().filter_map(|known| known.get(now));
-        let outside = known.filter(|news| news.is_from_outside);
-        let reached = outside.flat_map(|news| &news.leads_to);
+        let updates = route.updates.values().filter_map(|pooled| pooled.get(now));
+        let outside = updates.filter(|update| update.is_from_outside);
+        let reached = outside.flat_map(|update| &update.leads_to);
         let demands = reached.filter(|demand| demand.service == service);
         demands.map(|demand| self.work_s(now, demand)).sum()
     }
 
-    fn known(
+    fn updates(
         &self,
         now: Duration,
         route: &str,
     ) -> impl Iterator<Item = (&ServiceName, &RouteNews)> {
-        let known = self.routes.get(route).into_iter();
-        let known = known.flat_map(|route| &route.known);
-        known.filter_map(move |(service, known)| Some((service, known.get(now)?)))
+        let routes = self.routes.get(route).into_iter();
+        let updates = routes.flat_map(|route| &route.updates);
+        updates.filter_map(move |(service, pooled)| Some((service, pooled.get(now)?)))
     }
 
-    fn known_at(&self, now: Duration, route: &str, service: &str) -> Option<&RouteNews> {
-        self.routes.get(route)?.known.get(service)?.get(now)
+    fn update_at(&self, now: Duration, route: &str, service: &str) -> Option<&RouteNews> {
+        self.routes.get(route)?.updates.get(service)?.get(now)
     }
 }
 
--- a/crates/kumquatquay-core/src/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/src/routed/entry_queue.rs
@@ -187,11 +187,11 @@
 
     /// Records the latency of an answered request on a route, from its admission on.
     pub fn on_answer(&mut self, route: &str, latency: Duration) {
-        if let Some(latencies) = self.latencies.get_mut(route) {
-            latencies.observe(latency);
+        if let Some(estimate) = self.latencies.get_mut(route) {
+            estimate.observe(latency);
         } else if self.latencies.len() < MAX_FLOWS_COUNT {
-            let latencies = LatencyEstimate::first(latency);
-            self.latencies.insert(String::from(route), latencies);
+            let estimate = LatencyEstimate::first(latency);
+            self.latencies.insert(String::from(route), estimate);
         }
     }
 
@@ -320,8 +320,8 @@
     /// Latest time of admission with which a request is expected to meet its soft deadline; `None`
     /// if the latency of its route isn't known, or if it exceeds the soft deadline itself.
     fn latest_start(&self, request: &HoldRequest<'_>) -> Option<Duration> {
-        let latencies = self.latencies.get(&request.flow.route)?;
-        request.soft_deadline.checked_sub(latencies.upper_bound())
+        let estimate = self.latencies.get(&request.flow.route)?;
+        request.soft_deadline.checked_sub(estimate.upper_bound())
     }
 
     fn has_memory(&self, bytes: usize) -> bool {
--- a/crates/kumquatquay-core/src/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/src/routed/load_balancer.rs
@@ -178,17 +178,17 @@
         own_data_centre: &str,
         members: impl Iterator<Item = &'a MemberRecord>,
     ) {
-        let mut known = std::mem::take(&mut self.endpoints);
+        let mut old_endpoints = std::mem::take(&mut self.endpoints);
         self.services.clear();
         for record in members {
             let takes_calls = matches!(record.state, MemberState::Serving | MemberState::Warming);
             let Some(service) = record.service.as_ref().filter(|_| takes_calls) else {
                 continue;
             };
-            let same_life = known
+            let unchanged = old_endpoints
                 .remove(&record.control)
                 .filter(|endpoint| endpoint.life == record.life && endpoint.peer == record.peer);
-            let endpoint = same_life
+            let endpoint = unchanged
                 .filter(|endpoint| endpoint.service == *service)
                 .unwrap_or_else(|| {
                     Endpoint::new(record, service, own_data_centre, &self.reported_lives)
@@ -213,7 +213,7 @@
     /// Whether the backend server is ejected because it fails far more runs than its peers.
     pub fn is_ejected(&self, service: &str, control: SocketAddr) -> bool {
         let outliers = self.outliers.get(service);
-        outliers.is_some_and(|known| known.contains(control))
+        outliers.is_some_and(|detector| detector.contains(control))
     }
 
     /// Updates the ejected backend servers of a service; does nothing if the mechanism is off.
@@ -225,8 +225,8 @@
         let reported: Vec<(SocketAddr, f64)> = controls
             .map(|control| (*control, self.endpoints[control].report.failed_ratio()))
             .collect();
-        let known = self.outliers.entry(ServiceName::from(service));
-        let changes = known.or_default().refresh(service, &reported);
+        let detector = self.outliers.entry(ServiceName::from(service));
+        let changes = detector.or_default().refresh(service, &reported);
         self.outlier_changes.extend(changes);
     }
 
--- a/crates/kumquatquay-core/src/routed/outlier_detector.rs
+++ b/crates/kumquatquay-core/src/routed/outlier_detector.rs
@@ -23,7 +23,8 @@
     pub is_ejected: bool,
     /// Share of its recent runs that failed by its own fault.
     pub failed_ratio: f64,
-    /// Median of these shares over the backend servers of the service.
+    /// Median of these shares over the backend servers of the service; of an even number, the
+    /// lower of the two middle values.
     pub median_ratio: f64,
 }
 
