--- a/crates/kumquatquayd/src/routed/store_restore.rs
+++ b/crates/kumquatquayd/src/routed/store_restore.rs
@@ -86,8 +86,8 @@
                 self.metrics.count("store_returned", from);
                 log::warn!(event = "store_returned_from_copy", era = era, before = previous,
                     from = from, in_force = self.route_version();
-                    "the store was restored from a backup and lost recent writes; it is read again, \
-                     and this node registers again");
+                    "the store was restored from a backup and lost recent writes; it is read \
+                     again, and this node registers again");
                 self.store_restore.is_pending.set(true);
                 self.store_restore.restored.notify_one();
                 self.store_poller_wake.notify_one();
