--- a/crates/kumquatquay-core/src/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/src/routed/backend_lives.rs
@@ -5,7 +5,8 @@
 use derive_more::{Display, Error};
 use kumquatquay_wire::{BackendLife, ServiceName};
 
-/// Most lives that are kept; a host starts few backend servers between its own restarts.
+/// Maximum number of lives that are kept; a host starts few backend servers between its own
+/// restarts.
 const LIVES_LIMIT_COUNT: usize = 256;
 
 /// A report of a backend server about itself.
@@ -48,9 +49,9 @@
 /// start of the backend server to its end.
 ///
 /// A report of a life that has ended may arrive late, after the first report of the next life. If
-/// it were applied, calls would be sent to the ended life, and each would be rejected; and if both
-/// lives have the same id, the earlier life's report that it leaves would keep the later one from
-/// ever being called. So a life is identified by its id and its start, and the one that started
+/// it were applied, calls would be sent to the ended life, and each would be rejected. If both
+/// lives have the same id, the earlier life's report that it leaves would prevent all calls to the
+/// later one. So a life is identified by its id and its start, and the one that started
 /// last is current. Lives without a known start are ordered by their first report. A life that
 /// another one has superseded doesn't become current again by a report, but only by an answer of
 /// the backend server itself ([`BackendLives::on_answer_from`]).
--- a/crates/kumquatquay-core/src/routed/call_graph.rs
+++ b/crates/kumquatquay-core/src/routed/call_graph.rs
@@ -69,8 +69,8 @@
 /// inverted although the runs of several routes rise and fall together.
 const RIDGE_RATIO: f64 = 0.002;
 
-/// Most routes that are distinguished as callers, and as callees. A service uses a handful; the
-/// work grows with the square of this.
+/// Maximum number of routes that are distinguished as callers, and as callees. A service uses a
+/// handful; the work grows with the square of this.
 const ROUTES_LIMIT_COUNT: usize = 12;
 
 /// Which routes the runs of each route call, as estimated by the node on the host of a backend
--- a/crates/kumquatquay-core/src/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/src/routed/call_tracer.rs
@@ -34,7 +34,7 @@
 /// Time after its last successful run from which on nothing is known of a route.
 const EXPIRY: Duration = Duration::from_secs(30);
 
-/// Most routes, and most callees of each route, that are distinguished.
+/// Maximum number of routes, and of callees of each route, that are distinguished.
 const ROUTES_LIMIT_COUNT: usize = 64;
 
 /// Identifies a run: one execution of a request at the backend server of this host.
--- a/crates/kumquatquay-core/src/routed/link_health.rs
+++ b/crates/kumquatquay-core/src/routed/link_health.rs
@@ -9,7 +9,7 @@
 /// [`PING_INTERVAL`] while no call awaits an answer. The ping also exchanges versions.
 const IDLE_PING_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Least time without an answer to a ping after which a link counts as silent. A host with a CPU
+/// Minimum time without an answer to a ping after which a link counts as silent. A host with a CPU
 /// quota of 0.4 stands still for 60 ms of each 100 ms, and an answer may meet two such pauses.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
--- a/crates/kumquatquay-core/src/routed/log_read.rs
+++ b/crates/kumquatquay-core/src/routed/log_read.rs
@@ -2,8 +2,8 @@
 
 use kumquatquay_wire::routed::StoreEra;
 
-/// Most restarts of one read. The store is restored once in a while; a read that meets more
-/// restores than this is of a broken store.
+/// Maximum number of restarts of one read. The store is restored once in a while; a read that meets
+/// more restores than this is of a broken store.
 const RESTARTS_LIMIT_COUNT: u32 = 3;
 
 /// Position from which reads of a topic resume: the first unread offset, in an era of the store.
--- a/crates/kumquatquay-core/src/routed/pooled_estimates.rs
+++ b/crates/kumquatquay-core/src/routed/pooled_estimates.rs
@@ -14,7 +14,7 @@
 /// Time for which the estimate of a gate counts.
 const EXPIRY: Duration = Duration::from_secs(30);
 
-/// Most gates of one service whose estimates are kept: those that reported last.
+/// Maximum number of gates of one service whose estimates are kept: those that reported last.
 const GATES_LIMIT_COUNT: usize = 16;
 
 /// Calls at one service by one run beyond which an estimate is implausible: call chains are up to
--- a/crates/kumquatquay-core/src/routed/register_bootstrap.rs
+++ b/crates/kumquatquay-core/src/routed/register_bootstrap.rs
@@ -33,7 +33,7 @@
 /// Lower bound of that time.
 const MIN_REENTRY_SPREAD: Duration = Duration::from_millis(500);
 
-/// Least share of the register that a page is assumed to span when its size is estimated: a page
+/// Minimum share of the register that a page is assumed to span when its size is estimated: a page
 /// at the end may have a single entry.
 const ESTIMATE_MIN_SHARE: f64 = 0.005;
 
--- a/crates/kumquatquay-core/src/routed/reported_lives.rs
+++ b/crates/kumquatquay-core/src/routed/reported_lives.rs
@@ -7,8 +7,8 @@
     routed::{KnownLimit, RateReport},
 };
 
-/// Most lives that are kept. Only those that have reported a limit or that they leave are, and few
-/// do at a time.
+/// Maximum number of lives that are kept. Only lives that have reported a limit, or that they
+/// leave, are kept, and few do so at a time.
 const LIVES_LIMIT_COUNT: usize = 1_024;
 
 /// What backend servers have reported with the answers that this node has passed on, for each
--- a/crates/kumquatquay-core/src/routed/retry_after.rs
+++ b/crates/kumquatquay-core/src/routed/retry_after.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-/// Least wait of a refused caller, as a share of the target latency. The rest of that latency is
+/// Minimum wait of a refused caller, as a share of the target latency. The rest of that latency is
 /// enough to serve the retry. The range spreads callers that were refused together.
 const MIN_WAIT_RATIOS: Range<f64> = 0.35..0.7;
 
--- a/crates/kumquatquay-core/src/routed/route_callers.rs
+++ b/crates/kumquatquay-core/src/routed/route_callers.rs
@@ -17,7 +17,7 @@
 /// server come from the hosts of its own service.
 const OUTSIDE_MIN_RATIO: f64 = 0.6;
 
-/// Least number of services from whose hosts such a route must be called.
+/// Minimum number of services from whose hosts such a route must be called.
 const OUTSIDE_MIN_SERVICES_COUNT: usize = 2;
 
 /// Calls of a route until which not all its callers may have been seen.
@@ -27,7 +27,7 @@
 /// the first surge would be over before the hosts of most services had made a call.
 const FIRST_CALLS_COUNT: u32 = 40;
 
-/// Most routes that are tracked.
+/// Maximum number of routes that are tracked.
 const ROUTES_LIMIT_COUNT: usize = 512;
 
 /// Services from whose hosts each route is called, as seen by the gate of the route's service.
--- a/crates/kumquatquay-core/src/routed/store_poller.rs
+++ b/crates/kumquatquay-core/src/routed/store_poller.rs
@@ -78,7 +78,7 @@
 /// proves nothing before it ends.
 const PROOF_HOLD_MIN_RATIO: f64 = 0.8;
 
-/// Least time between reads on request, for each known node.
+/// Minimum time between requested reads, for each known node.
 const REQUESTED_READ_PER_NODE: Duration = Duration::from_millis(1);
 
 /// Lower bound of that time.
@@ -375,7 +375,7 @@
 
     /// Requests a read that starts now or later.
     ///
-    /// The least interval between such reads grows with the fleet, so that a caller that causes
+    /// The minimum interval between such reads grows with the fleet, so that a caller that causes
     /// requests at many nodes can't flood the store.
     pub fn request_read(&mut self, now: Duration, nodes_count: usize) {
         let nodes_count = u32::try_from(nodes_count).unwrap_or(u32::MAX);
