--- a/crates/kumquatquayd/src/routed/members.rs
+++ b/crates/kumquatquayd/src/routed/members.rs
@@ -33,7 +33,8 @@
 const REINTRODUCTION_INTERVAL: Duration = Duration::from_secs(1);
 const REINTRODUCTION_COUNT: usize = 3;
 
-/// Announces the state of the backend server of this host to the membership.
+/// Announces the state of the backend server of this host to the membership, and its life to the
+/// failure ratio and the rate limit of the gate.
 pub(crate) fn announce_backend(node: &RoutedNode) {
     let lives = node.lives.borrow();
     let Some(current) = lives.current() else {
@@ -119,8 +120,8 @@
     let local_readers = StoreReaders::in_data_centre(&settings.data_centre, members.iter());
     let local_readers = local_readers.into_iter().map(|reader| reader.peer);
     node.local_readers.replace(local_readers.collect());
-    let mut targets = node.load_balancer.borrow_mut();
-    targets.rebuild(&node.settings.data_centre, members.iter());
+    let mut load_balancer = node.load_balancer.borrow_mut();
+    load_balancer.rebuild(&node.settings.data_centre, members.iter());
 }
 
 /// Introduces this node to members that are gone, a few at a time.
