--- a/crates/kumquatquayd/src/routed/retry_budgets.rs
+++ b/crates/kumquatquayd/src/routed/retry_budgets.rs
@@ -35,7 +35,7 @@
     pub(crate) fn deposit_retry_budget(&self, route: &str, service: &str) {
         let now = self.now();
         self.with_budget(service, RetryKind::Direct, |budget| {
-            budget.on_requests(now, 1.0)
+            budget.on_requests(now, 1.0);
         });
         for (nested_service, calls_count) in self.nested_calls(route, service) {
             self.with_budget(&nested_service, RetryKind::Nested, |budget| {
@@ -62,7 +62,7 @@
             return false;
         }
         self.with_budget(service, RetryKind::Direct, |budget| {
-            budget.on_retries(now, 1.0)
+            budget.on_retries(now, 1.0);
         });
         for (service, calls_count) in &nested_calls {
             self.with_budget(service, RetryKind::Nested, |budget| {
