--- a/crates/kumquatquay-core/tests/quota/main.rs
+++ b/crates/kumquatquay-core/tests/quota/main.rs
@@ -1,10 +1,10 @@
 //! Limits that many nodes share.
 
-mod exploration;
-mod keepers;
+mod borrowers;
 mod lender;
 mod limit;
 mod pool;
+mod random_faults;
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/kumquatquay-core/tests/routed/call_mesh.rs
+++ b/crates/kumquatquay-core/tests/routed/call_mesh.rs
@@ -39,10 +39,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     pub(crate) route: &'static str,
-    pub(crate) rank: Priority,
+    pub(crate) priority: Priority,
     pub(crate) requests_per_s: f64,
     pub(crate) calls_count: u32,
-    pub(crate) work: Duration,
+    pub(crate) run_time: Duration,
     /// Time within which its answer is worth most.
     pub(crate) target_latency: Duration,
     /// The same for each of its calls, as far as the gate knows.
@@ -58,7 +58,7 @@
     pub(crate) gates_count: usize,
     pub(crate) slots_count: usize,
     /// Whether the work of calls is told apart by route.
-    pub(crate) has_route_works: bool,
+    pub(crate) has_route_run_times: bool,
     pub(crate) order: QueueOrder,
     /// Part of the mean load by which it goes up and down in a wave.
     pub(crate) swing_ratio: f64,
@@ -124,7 +124,7 @@
 pub(crate) struct CallMesh {
     settings: MeshSettings,
     kinds: Vec<Kind>,
-    ranks: BTreeMap<String, Priority>,
+    priorities: BTreeMap<String, Priority>,
     entries: Vec<EntryAdmission>,
     gates: Vec<Gate>,
     told: BTreeMap<(usize, usize, usize), Duration>,
@@ -144,7 +144,7 @@
     pub(crate) fn new(settings: MeshSettings, kinds: &[Kind]) -> Self {
         let gate = || {
             let gate = HostGate::default().order(settings.order);
-            let mut gate = if settings.has_route_works {
+            let mut gate = if settings.has_route_run_times {
                 gate
             } else {
                 gate.without_route_run_times()
@@ -155,13 +155,13 @@
                 level: LevelController::default(),
             }
         };
-        let ranks = kinds
+        let priorities = kinds
             .iter()
-            .map(|kind| (String::from(kind.route), kind.rank));
+            .map(|kind| (String::from(kind.route), kind.priority));
         let entries = (0..settings.entries_count).map(|_| EntryAdmission::default());
         Self {
             settings,
-            ranks: ranks.collect(),
+            priorities: priorities.collect(),
             entries: entries.collect(),
             gates: (0..settings.gates_count).map(|_| gate()).collect(),
             told: BTreeMap::new(),
@@ -225,7 +225,7 @@
     pub(crate) fn slots_of(&self, kind: usize, requests_count: u32) -> f64 {
         let watched = self.watched_until - self.watched_from;
         let kind = self.kinds[kind];
-        let work_s = kind.work.as_secs_f64() * f64::from(kind.calls_count);
+        let work_s = kind.run_time.as_secs_f64() * f64::from(kind.calls_count);
         work_s * f64::from(requests_count) / watched.as_secs_f64()
     }
 
@@ -248,10 +248,10 @@
         let request = EntryRequest {
             route: settings.route,
             service: settings.route,
-            priority: settings.rank,
+            priority: settings.priority,
             tie_breaker: self.random.random(),
         };
-        let admitted = self.entries[entry].admit(now, &request, &self.ranks);
+        let admitted = self.entries[entry].admit(now, &request, &self.priorities);
         let call = Call {
             kind,
             entry,
@@ -315,7 +315,7 @@
         to.level.on_arrival(heard, work);
         let asked = GateCall {
             priority: 0,
-            request_priority: kind.rank,
+            request_priority: kind.priority,
             soft_deadline: now + kind.call_target_latency,
             deadline: call.came + kind.timeout,
             run_time: work,
@@ -369,7 +369,7 @@
     }
 
     fn begin(&mut self, now: Duration, gate: usize, call: Call) {
-        let work = self.kinds[call.kind].work;
+        let work = self.kinds[call.kind].run_time;
         let work = work.mul_f64(self.random.random_range(0.6..1.4));
         let work_us = work.as_micros() as u64;
         self.at(
--- a/crates/kumquatquay-core/tests/routed/mixed_deadlines.rs
+++ b/crates/kumquatquay-core/tests/routed/mixed_deadlines.rs
@@ -26,27 +26,27 @@
     let ms = Duration::from_millis;
     let command = Kind {
         route: "command",
-        rank: 0,
+        priority: 0,
         requests_per_s: 562.0,
         calls_count: 8,
-        work: ms(31),
+        run_time: ms(31),
         target_latency: ms(1_500),
         call_target_latency: ms(300),
         timeout: ms(5_000),
     };
     let read = Kind {
         route: "read",
-        rank: 2,
+        priority: 2,
         requests_per_s: 1_222.0,
         calls_count: 4,
         ..command
     };
     let acknowledge = Kind {
         route: "acknowledge",
-        rank: 2,
+        priority: 2,
         requests_per_s: 159.0,
         calls_count: 1,
-        work: ms(83),
+        run_time: ms(83),
         target_latency: ms(400),
         call_target_latency: ms(400),
         timeout: ms(1_500),
@@ -63,7 +63,7 @@
         entries_count: 64,
         gates_count: 3,
         slots_count: SLOTS_COUNT,
-        has_route_works: true,
+        has_route_run_times: true,
         order,
         swing_ratio: 0.55,
         seed,
--- a/crates/kumquatquay-core/tests/routed/rate_limited_service.rs
+++ b/crates/kumquatquay-core/tests/routed/rate_limited_service.rs
@@ -21,12 +21,12 @@
 
 /// Filings of eight calls, status queries of one and lookups of four, the most important first.
 fn kinds() -> [Kind; 3] {
-    let kind = |route, rank, requests_per_s, calls_count| Kind {
+    let kind = |route, priority, requests_per_s, calls_count| Kind {
         route,
-        rank,
+        priority,
         requests_per_s,
         calls_count,
-        work: Duration::from_millis(25),
+        run_time: Duration::from_millis(25),
         target_latency: Duration::from_millis(1_500),
         call_target_latency: Duration::from_millis(300),
         timeout: Duration::from_millis(4_000),
@@ -45,7 +45,7 @@
         entries_count: 16,
         gates_count: GATES_COUNT,
         slots_count: 60,
-        has_route_works: true,
+        has_route_run_times: true,
         order: QueueOrder::default(),
         swing_ratio: 0.0,
         seed,
--- a/crates/kumquatquay-core/tests/routed/work_based_load.rs
+++ b/crates/kumquatquay-core/tests/routed/work_based_load.rs
@@ -24,12 +24,12 @@
 /// Kinds of requests that together need `load_ratio` times the slots.
 fn kinds(load_ratio: f64) -> [Kind; 3] {
     let kind =
-        |route, rank, requests_per_s, calls_count, run_time_ms, target_ms, timeout_ms| Kind {
+        |route, priority, requests_per_s, calls_count, run_time_ms, target_ms, timeout_ms| Kind {
             route,
-            rank,
+            priority,
             requests_per_s,
             calls_count,
-            work: Duration::from_millis(run_time_ms),
+            run_time: Duration::from_millis(run_time_ms),
             target_latency: Duration::from_millis(target_ms),
             call_target_latency: Duration::from_millis(target_ms),
             timeout: Duration::from_millis(timeout_ms),
@@ -39,8 +39,9 @@
         kind("quote", 1, 585.0, 8, 55, 1_500, 5_000),
         kind("times", 2, 104.0, 1, 880, 5_000, 10_000),
     ];
-    let requested = kinds
-        .map(|kind| kind.requests_per_s * f64::from(kind.calls_count) * kind.work.as_secs_f64());
+    let requested = kinds.map(|kind| {
+        kind.requests_per_s * f64::from(kind.calls_count) * kind.run_time.as_secs_f64()
+    });
     let factor = load_ratio * SLOTS_COUNT as f64 / requested.iter().sum::<f64>();
     kinds.map(|kind| Kind {
         requests_per_s: kind.requests_per_s * factor,
@@ -58,12 +59,12 @@
     misplaced_ratio: f64,
 }
 
-fn slot_use(load_ratio: f64, has_route_works: bool, seed: u64) -> SlotUse {
+fn slot_use(load_ratio: f64, has_route_run_times: bool, seed: u64) -> SlotUse {
     let settings = MeshSettings {
         entries_count: 79,
         gates_count: 19,
         slots_count: SLOTS_COUNT,
-        has_route_works,
+        has_route_run_times,
         order: QueueOrder::default(),
         swing_ratio: 0.0,
         seed,
