--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -33,7 +33,7 @@
 const MEASURED_MS: u64 = 8_000;
 
 /// Share of the requests that must be answered.
-const LEAST_SERVED_RATIO: f64 = 0.85;
+const MIN_SERVED_RATIO: f64 = 0.85;
 
 fn address(server: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, server as u8 + 1], 7_000))
@@ -228,7 +228,7 @@
         simulation.run();
         let served_ratio = f64::from(simulation.served_count) / f64::from(simulation.arrived_count);
         assert!(
-            served_ratio >= LEAST_SERVED_RATIO,
+            served_ratio >= MIN_SERVED_RATIO,
             "seed {seed}: {served_ratio}"
         );
     }
--- a/crates/kumquatquay-core/tests/routed/mixed_deadlines.rs
+++ b/crates/kumquatquay-core/tests/routed/mixed_deadlines.rs
@@ -17,10 +17,10 @@
 const MEASURED: Duration = Duration::from_secs(15);
 
 /// Least ratio of the lower to the higher share of timely answers of the two kinds.
-const LEAST_FAIRNESS_RATIO: f64 = 0.85;
+const MIN_FAIRNESS_RATIO: f64 = 0.85;
 
 /// Share of the answers that may be late.
-const MOST_LATE_RATIO: f64 = 0.02;
+const MAX_LATE_RATIO: f64 = 0.02;
 
 fn kinds() -> [Kind; 3] {
     let ms = Duration::from_millis;
@@ -81,12 +81,12 @@
         let (read_ratio, ratio) = (read.timely_ratio(), acknowledge.timely_ratio());
         let fairness_ratio = read_ratio.min(ratio) / read_ratio.max(ratio);
         assert!(
-            fairness_ratio >= LEAST_FAIRNESS_RATIO,
+            fairness_ratio >= MIN_FAIRNESS_RATIO,
             "{outcomes:?}, seed {seed}"
         );
         for outcome in [read, acknowledge] {
             let late_ratio = f64::from(outcome.late_count) / f64::from(outcome.served_count());
-            assert!(late_ratio <= MOST_LATE_RATIO, "{outcomes:?}, seed {seed}");
+            assert!(late_ratio <= MAX_LATE_RATIO, "{outcomes:?}, seed {seed}");
         }
     }
 }
--- a/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
@@ -324,7 +324,7 @@
     /// Calls in the window that count: start, caller.
     arrivals: VecDeque<(u64, usize)>,
     arrivals_count: usize,
-    most_excess: f64,
+    max_excess: f64,
 }
 
 /// Callers in the simulation.
@@ -356,7 +356,7 @@
             first_reported_ms: vec![None; CALLERS_COUNT],
             arrivals: VecDeque::new(),
             arrivals_count: 0,
-            most_excess: f64::NEG_INFINITY,
+            max_excess: f64::NEG_INFINITY,
         }
     }
 
@@ -480,7 +480,7 @@
         let allowed = self.allowed.iter().rev().take(window_checks);
         let allowed = allowed.sum::<f64>() * at_ms(CHECK_INTERVAL_MS).as_secs_f64();
         let excess = self.arrivals.len() as f64 - (1.5 * allowed + 5.0);
-        self.most_excess = self.most_excess.max(excess);
+        self.max_excess = self.max_excess.max(excess);
     }
 }
 
@@ -507,7 +507,7 @@
             simulation.step(offered_per_s);
         }
         assert!(simulation.first_advertised_ms.is_some());
-        let excess = simulation.most_excess;
+        let excess = simulation.max_excess;
         assert!(
             excess <= 0.0,
             "seed {seed}: {excess} calls over what is allowed"
--- a/crates/kumquatquay-core/tests/routed/work_based_load.rs
+++ b/crates/kumquatquay-core/tests/routed/work_based_load.rs
@@ -15,11 +15,11 @@
 const MEASURED: Duration = Duration::from_secs(15);
 
 /// Slots that must be in use, as a share of those that there are or that are requested.
-const LEAST_USED_RATIO: f64 = 0.93;
+const MIN_USED_RATIO: f64 = 0.93;
 
 /// Slots that may be missing from what each priority would get by strict priority, as a share of
 /// all slots.
-const MOST_MISPLACED_RATIO: f64 = 0.02;
+const MAX_MISPLACED_RATIO: f64 = 0.02;
 
 /// Kinds of requests that together need `load_ratio` times the slots.
 fn kinds(load_ratio: f64) -> [Kind; 3] {
@@ -99,9 +99,9 @@
             fn $name() {
                 for seed in 1..=3 {
                     let slot_use = slot_use($load, true, seed);
-                    assert!(slot_use.used_ratio >= LEAST_USED_RATIO, "{slot_use:?}, seed {seed}");
+                    assert!(slot_use.used_ratio >= MIN_USED_RATIO, "{slot_use:?}, seed {seed}");
                     assert!(
-                        slot_use.misplaced_ratio <= MOST_MISPLACED_RATIO,
+                        slot_use.misplaced_ratio <= MAX_MISPLACED_RATIO,
                         "{slot_use:?}, seed {seed}"
                     );
                 }
@@ -121,5 +121,5 @@
 #[test]
 fn without_run_times_by_route_slots_are_idle() {
     let slot_use = slot_use(0.9, false, 1);
-    assert!(slot_use.used_ratio < LEAST_USED_RATIO, "{slot_use:?}");
+    assert!(slot_use.used_ratio < MIN_USED_RATIO, "{slot_use:?}");
 }
