--- a/crates/kumquatquay-core/src/routed/log_read.rs
+++ b/crates/kumquatquay-core/src/routed/log_read.rs
@@ -189,7 +189,7 @@
                 self.on_records(position, offsets_count, end);
             }
             LogPage::OffsetUnavailable { oldest_offset } => {
-                self.on_offset_unavailable(position, oldest_offset)
+                self.on_offset_unavailable(position, oldest_offset);
             }
         }
     }
