--- a/crates/kumquatquay-core/src/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/src/routed/load_balancer.rs
@@ -313,7 +313,7 @@
                 endpoint.unreachable_pause = MIN_UNREACHABLE_PAUSE;
             }
             EndpointResult::Failed => {
-                endpoint.failed_ratio += NEW_WEIGHT * (1.0 - endpoint.failed_ratio)
+                endpoint.failed_ratio += NEW_WEIGHT * (1.0 - endpoint.failed_ratio);
             }
             EndpointResult::Unavailable => endpoint.unavailable_until = now + UNAVAILABLE_PAUSE,
             EndpointResult::Unreachable => {
