--- a/crates/kumquatquay-core/tests/routed/entry_queue.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_queue.rs
@@ -347,7 +347,7 @@
             for ReleasedRequest { ticket, reason } in released {
                 match reason {
                     ReleaseReason::RoomAvailable | ReleaseReason::WaitExhausted => {
-                        self.admit(now, ticket)
+                        self.admit(now, ticket);
                     }
                     ReleaseReason::NoRoom { room_expected_in } => {
                         self.totals.held_then_refused += 1.0;
