--- a/crates/kumquatquay-core/src/call/arrival.rs
+++ b/crates/kumquatquay-core/src/call/arrival.rs
@@ -9,8 +9,8 @@
 use rand::Rng;
 
 use super::{
-    attempt::{proceed, refuse},
-    call_table::{Call, Charge},
+    attempt::{refuse, resume},
+    call_table::{Call, RetryCost},
     ending::refuse_unknown,
     refusals,
 };
@@ -54,15 +54,15 @@
     }
     let ledger = board.overload.ledgers.get_mut(call.ledger);
     if let Some(ledger) = ledger {
-        ledger.waiting.begin(now.monotonic);
-        ledger.calls_out.push(id);
+        ledger.outgoing_call_time.on_call_started(now.monotonic);
+        ledger.outgoing_calls.push(id);
     }
     board.calls.calls.insert(id, call);
     if let Some(refusal) = reason_to_refuse(board, now, id) {
         refuse(board, now, id, refusal, out);
         return;
     }
-    proceed(board, now, id, out);
+    resume(board, now, id, out);
 }
 
 fn call_of(board: &mut Blackboard, now: Moment, arrived: CallArrived) -> Call {
@@ -105,7 +105,7 @@
         attempt: None,
         last_attempt: None,
         tried: Vec::new(),
-        charge: Charge::default(),
+        retry_cost: RetryCost::default(),
         outcome: Outcome::NotRun,
         is_abandoned: false,
         arrived,
@@ -115,11 +115,11 @@
 /// The number of a service that somebody serves. Names that callers make up get
 /// none, so that they don't crowd out services that exist.
 fn service_id_of(board: &mut Blackboard, service: &ServiceName) -> Option<ServiceId> {
-    let known = board.overload.services.known_id(service);
+    let known = board.overload.services.id(service);
     if known.is_some() || board.members.candidates(service).is_empty() {
         return known;
     }
-    board.overload.services.id_of(service)
+    board.overload.services.get_or_insert_id(service)
 }
 
 fn classify(board: &Blackboard, caller: &str, arrived: &CallArrived) -> Classification {
@@ -175,7 +175,7 @@
     let mut funding = funding_of(token, &ledger);
     funding.owns_ledger = true;
     funding.is_entry = is_entry;
-    board.overload.ledgers.open_for_call(token, ledger);
+    board.overload.ledgers.insert_for_call(token, ledger);
     funding
 }
 
@@ -237,7 +237,7 @@
 
 fn home_ledger(now: Moment, context: &RequestContext) -> Ledger {
     let remaining = Duration::from_millis(u64::from(context.remaining_ms));
-    Ledger::of_context(context, now.monotonic + remaining)
+    Ledger::from_context(context, now.monotonic + remaining)
 }
 
 /// The ledger of a call whose request has ended, or that belongs to none: the
--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -22,7 +22,7 @@
 const MARGIN_GREATEST: Duration = Duration::from_millis(10);
 
 /// Goes on with a call that has no attempt out: waits, sends or ends it.
-pub(crate) fn proceed(board: &mut Blackboard, now: Moment, id: CallId, out: &mut Vec<Output>) {
+pub(crate) fn resume(board: &mut Blackboard, now: Moment, id: CallId, out: &mut Vec<Output>) {
     let Some(call) = board.calls.calls.get(&id) else {
         return;
     };
@@ -160,7 +160,7 @@
     if let Some(service) = call.service {
         let budget = &mut board.overload.services.get_mut(service).retry_budget;
         match is_first {
-            true => budget.on_first_try(),
+            true => budget.on_first_attempt(),
             false => budget.on_retry(),
         }
     }
@@ -177,9 +177,9 @@
     if !policy.has_retry_allowance {
         return true;
     }
-    let subtree_count = call.charge.subtree_count;
-    ledger.pay_off_attempts(subtree_count);
-    ledger.allowance.pay(1 + subtree_count)
+    let subtree_count = call.retry_cost.subtree_count;
+    ledger.deduct_paid_attempts(subtree_count);
+    ledger.allowance.try_spend(1 + subtree_count)
 }
 
 fn lend(board: &mut Blackboard, id: CallId) -> u16 {
@@ -205,7 +205,7 @@
         .overload
         .routes
         .get_or_insert_with(call.route, new_route);
-    route.ask(now) || is_asked
+    route.begin_services_request(now) || is_asked
 }
 
 fn context_of(board: &Blackboard, now: Duration, id: CallId) -> Option<RequestContext> {
@@ -222,7 +222,7 @@
         cohort: call.importance.cohort(),
         remaining_ms: remaining.as_millis().min(u128::from(u32::MAX)) as u32,
         allowance_count: attempt.lent_count,
-        is_repeat: call.is_repeat || call.charge.is_open,
+        is_repeat: call.is_repeat || call.retry_cost.is_unknown,
         wants_services: attempt.wants_services,
         caller_limit_per_s: call.caller_limit_per_s,
         depth_count: call.depth_count.saturating_add(1),
--- a/crates/kumquatquay-core/src/call/call_table.rs
+++ b/crates/kumquatquay-core/src/call/call_table.rs
@@ -61,7 +61,7 @@
     /// Backend servers that were tried.
     pub(crate) tried: Vec<SocketAddr>,
     /// What the next attempt is charged.
-    pub(crate) charge: Charge,
+    pub(crate) retry_cost: RetryCost,
     /// What is certain of all attempts that ended.
     pub(crate) outcome: Outcome,
     /// Whether its caller has gone.
@@ -70,13 +70,13 @@
 
 /// What an attempt is charged to the retry allowance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Charge {
+pub(crate) struct RetryCost {
     /// Attempts that the callee's subtree made before, free of charge, and that
     /// this attempt will make once more.
     pub(crate) subtree_count: u16,
     /// Whether that number is not known, so that the callee has to pay each of
     /// its calls as it makes them.
-    pub(crate) is_open: bool,
+    pub(crate) is_unknown: bool,
 }
 
 /// One attempt that is out.
@@ -100,7 +100,7 @@
 pub(crate) struct CallTable {
     pub(crate) calls: HashMap<CallId, Call>,
     /// When lapsed calls were last cleared away.
-    pub(super) swept: Duration,
+    pub(super) last_sweep: Duration,
 }
 
 impl CallTable {
@@ -109,12 +109,12 @@
     }
 
     /// Calls whose deadline passed long ago, in the order of their ids.
-    pub(super) fn lapsed(&self, now: Duration) -> Vec<CallId> {
+    pub(super) fn expired(&self, now: Duration) -> Vec<CallId> {
         let calls = self.calls.iter();
-        let lapsed = calls.filter(|(_, call)| call.deadline + LAPSE_GRACE < now);
-        let mut lapsed: Vec<_> = lapsed.map(|(id, _)| *id).collect();
-        lapsed.sort_unstable();
-        lapsed
+        let expired = calls.filter(|(_, call)| call.deadline + LAPSE_GRACE < now);
+        let mut expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        expired.sort_unstable();
+        expired
     }
 
     pub(super) fn is_full(&self) -> bool {
--- a/crates/kumquatquay-core/src/call/controller.rs
+++ b/crates/kumquatquay-core/src/call/controller.rs
@@ -4,7 +4,7 @@
 
 use super::{
     arrival::on_arrived,
-    ending::{finish_lapsed, on_abandoned, on_attempt_ended},
+    ending::{finish_expired, on_abandoned, on_attempt_ended},
 };
 use crate::{Blackboard, CallInput, Moment, Output, operations};
 
@@ -26,9 +26,9 @@
 }
 
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    if now.monotonic.saturating_sub(board.calls.swept) < SWEEP_INTERVAL {
+    if now.monotonic.saturating_sub(board.calls.last_sweep) < SWEEP_INTERVAL {
         return;
     }
-    board.calls.swept = now.monotonic;
-    finish_lapsed(board, now, out);
+    board.calls.last_sweep = now.monotonic;
+    finish_expired(board, now, out);
 }
--- a/crates/kumquatquay-core/src/call/ending.rs
+++ b/crates/kumquatquay-core/src/call/ending.rs
@@ -5,8 +5,8 @@
 use kumquatquay_wire::{AnswerContext, Importance, LedgerToken, Outcome, ServiceLevel};
 
 use super::{
-    attempt::proceed,
-    call_table::{Attempt, Call, Charge},
+    attempt::resume,
+    call_table::{Attempt, Call, RetryCost},
     refusals,
 };
 use crate::{
@@ -65,12 +65,12 @@
         OperationVerdict::NotHandedOver => true,
         OperationVerdict::NotAnOperation => is_failure(&ended.result, outcome),
     };
-    let charge = is_failed
-        .then(|| charge_of_retry(board, now, id, outcome, answer.as_ref()))
+    let retry_cost = is_failed
+        .then(|| cost_of_retry(board, now, id, outcome, answer.as_ref()))
         .flatten();
-    if let (Some(charge), Some(call)) = (charge, board.calls.calls.get_mut(&id)) {
-        call.charge = charge;
-        proceed(board, now, id, out);
+    if let (Some(retry_cost), Some(call)) = (retry_cost, board.calls.calls.get_mut(&id)) {
+        call.retry_cost = retry_cost;
+        resume(board, now, id, out);
         return;
     }
     if let Some(operation) = &operation {
@@ -170,13 +170,13 @@
         settle_without_answer(board, ledger, attempt, result);
         return;
     };
-    let mut touched = Vec::new();
+    let mut reached_services = Vec::new();
     if board.settings.policy.has_levels {
         let (own, others) = split_levels(&answer.levels, &called_name);
         if let Some(own) = own {
-            overload::learn_gate_level(board, now.monotonic, attempt.peer, own);
+            overload::observe_gate_level(board, now.monotonic, attempt.peer, own);
         }
-        touched = overload::learn_levels(board, now.monotonic, others);
+        reached_services = overload::observe_levels(board, now.monotonic, others);
     }
     let target = board.overload.targets.get_mut(&attempt.peer);
     if let Some(target) = target.filter(|_| attempt.home.is_none()) {
@@ -185,16 +185,14 @@
     }
     if let Some(ledger) = board.overload.ledgers.get_mut(ledger) {
         let claimed_count = answer.allowance_returned_count;
-        ledger
-            .allowance
-            .take_back(claimed_count, attempt.lent_count);
+        ledger.allowance.reclaim(claimed_count, attempt.lent_count);
         ledger.add_attempts(Some(answer.attempts_count));
         let called = service.into_iter();
-        for service in called.chain(touched.iter().copied()) {
-            ledger.touch(service);
+        for service in called.chain(reached_services.iter().copied()) {
+            ledger.add_reached_service(service);
         }
     }
-    learn_route(board, route, attempt, result, answer, &touched);
+    learn_route(board, route, attempt, result, answer, &reached_services);
 }
 
 /// Tells the level of the answering gate itself, which goes first, from those that
@@ -224,7 +222,7 @@
         AttemptResult::NotSent => {
             ledger
                 .allowance
-                .take_back(attempt.lent_count, attempt.lent_count);
+                .reclaim(attempt.lent_count, attempt.lent_count);
         }
         AttemptResult::Answered(_) | AttemptResult::Broken | AttemptResult::TimedOut => {
             ledger.add_attempts(None);
@@ -238,7 +236,7 @@
     attempt: &Attempt,
     result: &AttemptResult,
     answer: &AnswerContext,
-    touched: &[overload::ServiceId],
+    reached_services: &[overload::ServiceId],
 ) {
     let AttemptResult::Answered(head) = result else {
         return;
@@ -248,10 +246,10 @@
         return;
     };
     if is_whole && answer.attempts_count != AnswerContext::ATTEMPTS_UNKNOWN {
-        route.learn_calls(answer.attempts_count);
+        route.record_attempts(answer.attempts_count);
     }
     if attempt.wants_services || !is_whole {
-        route.learn(touched, is_whole && attempt.wants_services);
+        route.record_services(reached_services, is_whole && attempt.wants_services);
     }
 }
 
@@ -259,13 +257,13 @@
 ///
 /// Without a retry allowance each layer tries a fixed number of times, as most
 /// systems do; experiments compare against that.
-fn charge_of_retry(
+fn cost_of_retry(
     board: &Blackboard,
     now: Moment,
     id: CallId,
     outcome: Outcome,
     answer: Option<&AnswerContext>,
-) -> Option<Charge> {
+) -> Option<RetryCost> {
     let call = board.calls.calls.get(&id)?;
     let may_repeat = outcome == Outcome::NotRun || call.is_idempotent;
     let left = call.deadline.saturating_sub(now.monotonic);
@@ -275,16 +273,16 @@
     let policy = board.settings.policy;
     if !policy.has_retry_allowance {
         let has_try = call.tried.len() < usize::from(policy.tries_count);
-        return has_try.then(Charge::default);
+        return has_try.then(RetryCost::default);
     }
     let ledger = board.overload.ledgers.get(call.ledger)?;
-    let (charge, expected_count) = charge_of_subtree(board, call, outcome, answer);
+    let (retry_cost, expected_count) = cost_of_subtree(board, call, outcome, answer);
     let service = &call.arrived.service;
     let is_safe = quarantine::may_retry(board, now, service, call.fingerprint);
-    let is_affordable = ledger.allowance.left_count() > expected_count;
+    let is_affordable = ledger.allowance.remaining_count() > expected_count;
     let is_safe = is_safe && !failed_for_overload(outcome, answer);
     let is_allowed = is_affordable && is_safe && service_allows(board, now, call, left);
-    is_allowed.then_some(charge)
+    is_allowed.then_some(retry_cost)
 }
 
 /// Whether a service in the subtree of a failed attempt was overloaded. The callee
@@ -298,28 +296,31 @@
 
 /// What the subtree of a failed attempt has cost and will cost once more, and
 /// how much of the allowance that is expected to take.
-fn charge_of_subtree(
+fn cost_of_subtree(
     board: &Blackboard,
     call: &Call,
     outcome: Outcome,
     answer: Option<&AnswerContext>,
-) -> (Charge, u16) {
+) -> (RetryCost, u16) {
     let known_count = match (outcome, answer) {
         (Outcome::NotRun, _) => Some(0),
         (_, Some(answer)) => Some(answer.attempts_count),
         (_, None) => None,
     };
     let known_count = known_count.filter(|count| *count != AnswerContext::ATTEMPTS_UNKNOWN);
-    let charge = Charge {
+    let retry_cost = RetryCost {
         subtree_count: known_count.unwrap_or(0),
-        is_open: call.charge.is_open || known_count.is_none(),
+        is_unknown: call.retry_cost.is_unknown || known_count.is_none(),
     };
-    if !charge.is_open {
-        return (charge, charge.subtree_count);
+    if !retry_cost.is_unknown {
+        return (retry_cost, retry_cost.subtree_count);
     }
     let route = board.overload.routes.peek(call.route);
-    let expected_count = route.map_or(0, Route::expected_calls_count);
-    (charge, charge.subtree_count.saturating_add(expected_count))
+    let expected_count = route.map_or(0, Route::expected_attempts_count);
+    (
+        retry_cost,
+        retry_cost.subtree_count.saturating_add(expected_count),
+    )
 }
 
 /// Whether the service can be expected to answer another attempt.
@@ -389,11 +390,11 @@
         explain::record(board, now, RefusedCall::of(&call), refusal);
     }
     if let Some(ledger) = board.overload.ledgers.get_mut(call.ledger) {
-        ledger.waiting.end(now.monotonic);
-        ledger.calls_out.retain(|out| *out != id);
+        ledger.outgoing_call_time.on_call_ended(now.monotonic);
+        ledger.outgoing_calls.retain(|out| *out != id);
     }
     if call.owns_ledger {
-        let ledger = board.overload.ledgers.end(call.ledger);
+        let ledger = board.overload.ledgers.remove(call.ledger);
         give_back(&call.arrived.origin, ledger, &mut ending);
     }
     if !call.is_abandoned {
@@ -406,8 +407,8 @@
 
 /// Ends calls whose host never said how their attempt ended. Each would keep its
 /// room for ever, and the node would refuse all calls once none is left.
-pub(super) fn finish_lapsed(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    for id in board.calls.lapsed(now.monotonic) {
+pub(super) fn finish_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+    for id in board.calls.expired(now.monotonic) {
         let call = board.calls.calls.get(&id);
         let out_there = call.and_then(|call| Some((call.service, call.attempt.as_ref()?.peer)));
         if let Some((service, peer)) = out_there {
@@ -423,7 +424,7 @@
     let CallOrigin::Home { context } = origin else {
         return;
     };
-    let unspent_count = ledger.map_or(0, |mut ledger| ledger.allowance.give_back());
+    let unspent_count = ledger.map_or(0, |mut ledger| ledger.allowance.take_unspent());
     if let CallEnding::PassAnswer {
         allowance_returned_count,
         ..
--- a/crates/kumquatquay-core/src/call/mod.rs
+++ b/crates/kumquatquay-core/src/call/mod.rs
@@ -7,7 +7,7 @@
 mod ending;
 mod refusals;
 
-pub(crate) use attempt::proceed as resume;
+pub(crate) use attempt::resume;
 pub(crate) use call_table::{Call, CallTable};
 pub(crate) use controller::{on_input, on_tick};
 pub(crate) use ending::cancel_for_work;
--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -62,7 +62,10 @@
         return;
     }
     let importance = work.importance();
-    board.gate.setter.on_arrived(now.monotonic, importance);
+    board
+        .gate
+        .level_controller
+        .on_arrival(now.monotonic, importance);
     let is_ordered = board.settings.policy.has_gate;
     board.gate.queue.push(id, work, is_ordered);
     run_waiting(board, now, out);
@@ -104,7 +107,7 @@
     !board
         .gate
         .caller_limits
-        .admit(now, &context.caller, share_per_s)
+        .try_admit(now, &context.caller, share_per_s)
 }
 
 pub(super) fn queue_limit_count(board: &Blackboard) -> usize {
@@ -126,10 +129,10 @@
 /// Refuses the least important work that waits; the newest arrival, if it is
 /// that one.
 fn refuse_least(board: &mut Blackboard, out: &mut Vec<Output>) {
-    let Some((id, work)) = board.gate.queue.pop_least() else {
+    let Some((id, work)) = board.gate.queue.pop_least_important() else {
         return;
     };
-    board.gate.setter.on_refused(work.importance());
+    board.gate.level_controller.on_refused(work.importance());
     refuse(board, id, &work, FULL, out);
 }
 
@@ -145,13 +148,13 @@
 
 fn refuse_late(board: &mut Blackboard, id: WorkId, work: &Work, out: &mut Vec<Output>) {
     board.counters.add(Counter::WorkExpired);
-    board.gate.setter.on_refused(work.importance());
+    board.gate.level_controller.on_refused(work.importance());
     refuse(board, id, work, EXPIRED, out);
 }
 
 /// Refuses all work that waits, because the backend server is gone.
 pub(super) fn refuse_all(board: &mut Blackboard, out: &mut Vec<Output>) {
-    for (id, work) in board.gate.queue.take_all() {
+    for (id, work) in board.gate.queue.withdraw_all() {
         refuse(board, id, &work, ABSENT, out);
     }
 }
@@ -180,17 +183,20 @@
 /// run is asked for: some work is quicker than the average, and dropping it for a
 /// wrong guess would be worse than running some in vain.
 fn would_be_late(board: &Blackboard, now: Duration, work: &Work) -> bool {
-    let least_s = board.gate.limit.mean_run_s() / 2.0;
+    let least_s = board.gate.limit.mean_run_time_s() / 2.0;
     let left = work.deadline.saturating_sub(now);
     left.is_zero() || left.as_secs_f64() < least_s
 }
 
 fn run(board: &mut Blackboard, now: Moment, id: WorkId, work: Work, out: &mut Vec<Output>) {
     let waited = now.monotonic - work.arrived;
-    board.gate.setter.on_started(work.importance(), waited);
+    board
+        .gate
+        .level_controller
+        .on_started(work.importance(), waited);
     let token = board.random.random();
-    let ledger = Ledger::of_context(&work.context, work.deadline);
-    board.overload.ledgers.open_for_work(token, ledger);
+    let ledger = Ledger::from_context(&work.context, work.deadline);
+    board.overload.ledgers.insert_for_work(token, ledger);
     out.push(Output::RunWork(RunWork {
         work: id,
         token,
--- a/crates/kumquatquay-core/src/gate/answer.rs
+++ b/crates/kumquatquay-core/src/gate/answer.rs
@@ -22,7 +22,7 @@
     out: &mut Vec<Output>,
 ) {
     board.counters.add(Counter::WorkRefused);
-    let level = board.gate.setter.level();
+    let level = board.gate.level_controller.level();
     let retry_after = overload::retry_after(&mut board.random, level, work.importance());
     let refusal = Refusal {
         reason,
@@ -70,10 +70,10 @@
     if !board.settings.policy.has_levels {
         return Vec::new();
     }
-    let touched = ledger.touched.iter();
-    let services = touched.map(|id| board.overload.services.get(*id));
+    let reached_services = ledger.reached_services.iter();
+    let services = reached_services.map(|id| board.overload.services.get(*id));
     let is_whole = ledger.wants_services;
-    let levels = services.flat_map(|service| overload::told_levels(service, now, is_whole));
+    let levels = services.flat_map(|service| overload::known_levels(service, now, is_whole));
     levels.collect()
 }
 
--- a/crates/kumquatquay-core/src/gate/caller_limits.rs
+++ b/crates/kumquatquay-core/src/gate/caller_limits.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use crate::overload::TwoGenerations;
+use crate::overload::GenerationalCache;
 
 /// Callers with a limit that a gate keeps count of.
 const CALLERS_LIMIT_COUNT: usize = 8_192;
@@ -22,7 +22,7 @@
 /// limit can be exceeded.
 #[derive(Debug)]
 pub(crate) struct CallerLimits {
-    buckets: TwoGenerations<u64, Bucket>,
+    buckets: GenerationalCache<u64, Bucket>,
     seed: u64,
 }
 
@@ -35,13 +35,13 @@
 impl CallerLimits {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            buckets: TwoGenerations::new(CALLERS_LIMIT_COUNT),
+            buckets: GenerationalCache::new(CALLERS_LIMIT_COUNT),
             seed,
         }
     }
 
     /// Whether a caller may make one more call, by its share of the limit.
-    pub(crate) fn admit(&mut self, now: Duration, caller: &str, share_per_s: f64) -> bool {
+    pub(crate) fn try_admit(&mut self, now: Duration, caller: &str, share_per_s: f64) -> bool {
         let mut hasher = DefaultHasher::new();
         (self.seed, caller).hash(&mut hasher);
         let saved_count = (share_per_s * SAVED.as_secs_f64()).max(1.0);
--- a/crates/kumquatquay-core/src/gate/concurrency_limit.rs
+++ b/crates/kumquatquay-core/src/gate/concurrency_limit.rs
@@ -79,7 +79,7 @@
     slots_count: usize,
     limit: f64,
     best_latency_s: f64,
-    mean_run_s: f64,
+    mean_run_time_s: f64,
     last_latency_s: f64,
     is_slow: bool,
     /// Latency of work that began with much room left, and with little.
@@ -139,7 +139,7 @@
 
 impl ConcurrencyLimit {
     /// Starts afresh with what the backend server announced.
-    pub(crate) fn announce(&mut self, slots_count: usize) {
+    pub(crate) fn set_slots_count(&mut self, slots_count: usize) {
         if slots_count == self.slots_count {
             return;
         }
@@ -150,7 +150,7 @@
     }
 
     /// The backend server is gone.
-    pub(crate) fn close(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 
@@ -162,18 +162,18 @@
     }
 
     /// Mean time that work runs, in seconds; 0 before the first answer.
-    pub(crate) fn mean_run_s(&self) -> f64 {
-        self.mean_run_s
+    pub(crate) fn mean_run_time_s(&self) -> f64 {
+        self.mean_run_time_s
     }
 
     /// Work was answered that was handed over at `started`; `own` is the time to run less the time that it waited
     /// for calls of its own.
     pub(crate) fn on_answered(&mut self, started: Duration, run: Duration, own: Duration) {
-        let run_s = run.as_secs_f64();
-        if self.mean_run_s == 0.0 {
-            self.mean_run_s = run_s;
+        let run_time_s = run.as_secs_f64();
+        if self.mean_run_time_s == 0.0 {
+            self.mean_run_time_s = run_time_s;
         }
-        self.mean_run_s += 0.05 * (run_s - self.mean_run_s);
+        self.mean_run_time_s += 0.05 * (run_time_s - self.mean_run_time_s);
         let counts_from = self.trial.map(|trial| trial.counts_from);
         if counts_from.is_none_or(|from| started >= from) {
             self.window.answers_count += 1;
@@ -182,7 +182,7 @@
     }
 
     /// Latency of work that began beside this much other work.
-    pub(crate) fn on_measured(&mut self, beside_count: usize, own: Duration) {
+    pub(crate) fn on_latency(&mut self, beside_count: usize, own: Duration) {
         let is_light = (beside_count as f64) < LIGHT_RATIO * self.limit;
         let latencies = if is_light {
             &mut self.light
--- a/crates/kumquatquay-core/src/gate/controller.rs
+++ b/crates/kumquatquay-core/src/gate/controller.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     BackendInput, Blackboard, CallId, Counter, Moment, Output, WorkId, WorkInput, WorkResult, call,
-    overload::GateRoom,
+    overload::GateCapacity,
     quarantine::{self, InFlight},
 };
 
@@ -40,7 +40,10 @@
     match input {
         BackendInput::Announced(announcement) => {
             board.gate.connections_count = announcement.connections_count as usize;
-            board.gate.limit.announce(announcement.slots_count as usize);
+            board
+                .gate
+                .limit
+                .set_slots_count(announcement.slots_count as usize);
             run_waiting(board, now, out);
         }
         BackendInput::HealthReported { is_healthy } => board.gate.is_reported_ill = !is_healthy,
@@ -54,7 +57,7 @@
     let in_flight = unanswered.map(|(work, running)| in_flight(*work, running));
     let in_flight: Vec<_> = in_flight.collect();
     quarantine::on_backend_died(board, now, &in_flight, out);
-    board.gate.limit.close();
+    board.gate.limit.reset();
     refuse_all(board, out);
 }
 
@@ -73,19 +76,19 @@
         board.gate.limit.on_saturated();
     }
     if board.settings.policy.has_levels {
-        let run_s = board.gate.limit.mean_run_s();
+        let run_time_s = board.gate.limit.mean_run_time_s();
         let limit_count = board.gate.limit.limit_count();
         board
             .gate
-            .setter
-            .on_busy(board.gate.running.len(), limit_count);
+            .level_controller
+            .on_utilization(board.gate.running.len(), limit_count);
         let queue_count = queue_limit_count(board);
-        let room = GateRoom {
+        let room = GateCapacity {
             limit_count,
             queue_count,
-            run_s,
+            run_time_s,
         };
-        board.gate.setter.on_tick(now.monotonic, room);
+        board.gate.level_controller.on_tick(now.monotonic, room);
     }
     run_waiting(board, now, out);
 }
@@ -115,21 +118,21 @@
     match result {
         WorkResult::Answered { says_not_run, .. } if !says_not_run => {
             let ledger = board.overload.ledgers.get(token);
-            let waited = ledger.map(|ledger| ledger.waiting.total(now.monotonic));
+            let waited = ledger.map(|ledger| ledger.outgoing_call_time.total(now.monotonic));
             let own = run.saturating_sub(waited.unwrap_or_default());
             board.gate.limit.on_answered(started, run, own);
-            board.gate.limit.on_measured(beside_count, own);
+            board.gate.limit.on_latency(beside_count, own);
             quarantine::on_ran(board, now, id, context.fingerprint);
         }
         WorkResult::Answered { .. } | WorkResult::NotSent => {
             board.gate.limit.on_backend_refused(others_count);
-            board.gate.setter.on_refused(context.importance());
+            board.gate.level_controller.on_refused(context.importance());
         }
         WorkResult::Broken => quarantine::on_broken(board, now, request),
         WorkResult::TimedOut => {}
     }
     let ledger = board.overload.ledgers.get_mut(token);
-    let unspent_count = ledger.map_or(0, |ledger| ledger.allowance.give_back());
+    let unspent_count = ledger.map_or(0, |ledger| ledger.allowance.take_unspent());
     let ledger = board.overload.ledgers.get(token);
     let mut answer = answer(board, now, &context, outcome, ledger);
     answer.allowance_returned_count = unspent_count.min(context.allowance_count);
@@ -138,7 +141,7 @@
         answer.attempts_count = AnswerContext::ATTEMPTS_UNKNOWN;
     }
     if is_failure(result) {
-        board.overload.ledgers.end(token);
+        board.overload.ledgers.remove(token);
     }
     out.push(Output::AnswerWork {
         work: id,
@@ -148,7 +151,7 @@
 
 fn ledger_has_calls_out(board: &Blackboard, token: LedgerToken) -> bool {
     let ledger = board.overload.ledgers.get(token);
-    ledger.is_some_and(|ledger| !ledger.calls_out.is_empty())
+    ledger.is_some_and(|ledger| !ledger.outgoing_calls.is_empty())
 }
 
 /// Whether the sender may make the call again. Calls that the backend server
@@ -186,8 +189,8 @@
         return Vec::new();
     };
     quarantine::on_work_gone(board, id);
-    let ledger = board.overload.ledgers.end(running.token);
-    ledger.map_or_else(Vec::new, |ledger| ledger.calls_out)
+    let ledger = board.overload.ledgers.remove(running.token);
+    ledger.map_or_else(Vec::new, |ledger| ledger.outgoing_calls)
 }
 
 /// The sender has gone. Work that waits leaves at once. Work that was handed
--- a/crates/kumquatquay-core/src/gate/gate_queue.rs
+++ b/crates/kumquatquay-core/src/gate/gate_queue.rs
@@ -13,7 +13,7 @@
 
 /// Order in the queue: the most important first, then the one that came first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct GateQueueKey {
     importance: Reverse<Importance>,
     number: u64,
 }
@@ -21,8 +21,8 @@
 /// Work that waits at the gate, the most important first.
 #[derive(Debug, Default)]
 pub(crate) struct GateQueue {
-    waiting: BTreeMap<Place, (WorkId, Work)>,
-    places: HashMap<WorkId, Place>,
+    waiting: BTreeMap<GateQueueKey, (WorkId, Work)>,
+    places: HashMap<WorkId, GateQueueKey>,
     last_number: u64,
 }
 
@@ -42,7 +42,7 @@
             true => work.importance(),
             false => Importance::LEAST,
         };
-        let place = Place {
+        let place = GateQueueKey {
             importance: Reverse(importance),
             number: self.last_number,
         };
@@ -58,7 +58,7 @@
     }
 
     /// Takes out the least important work, of several the one that came last.
-    pub(crate) fn pop_least(&mut self) -> Option<(WorkId, Work)> {
+    pub(crate) fn pop_least_important(&mut self) -> Option<(WorkId, Work)> {
         let (_, (id, work)) = self.waiting.pop_last()?;
         self.places.remove(&id);
         Some((id, work))
@@ -84,7 +84,7 @@
     }
 
     /// Takes out all work.
-    pub(crate) fn take_all(&mut self) -> Vec<(WorkId, Work)> {
+    pub(crate) fn withdraw_all(&mut self) -> Vec<(WorkId, Work)> {
         self.places.clear();
         std::mem::take(&mut self.waiting).into_values().collect()
     }
--- a/crates/kumquatquay-core/src/gate/gate_table.rs
+++ b/crates/kumquatquay-core/src/gate/gate_table.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{CallerLimits, ConcurrencyLimit, GateQueue, RunningWork};
-use crate::{WorkId, overload::LevelSetter};
+use crate::{WorkId, overload::LevelController};
 
 /// Work that waits and work that runs.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     pub(crate) running: HashMap<WorkId, RunningWork>,
     pub(crate) queue: GateQueue,
     pub(crate) limit: ConcurrencyLimit,
-    pub(crate) setter: LevelSetter,
+    pub(crate) level_controller: LevelController,
     pub(crate) caller_limits: CallerLimits,
     /// Connections that the backend server accepts.
     pub(crate) connections_count: usize,
@@ -28,7 +28,7 @@
             running: HashMap::new(),
             queue: GateQueue::default(),
             limit: ConcurrencyLimit::default(),
-            setter: LevelSetter::default(),
+            level_controller: LevelController::default(),
             caller_limits: CallerLimits::new(random.random()),
             connections_count: 0,
         }
--- a/crates/kumquatquay-core/src/membership/tellings.rs
+++ b/crates/kumquatquay-core/src/membership/tellings.rs
@@ -51,7 +51,7 @@
                 rumours.push(Rumour::Quarantine(record));
             }
         }
-        let mut levels = overload::levels_to_tell(board, now);
+        let mut levels = overload::levels_to_gossip(board, now);
         levels.shuffle(&mut board.random);
         rumours.extend(levels.into_iter().map(Rumour::Level));
         rumours
--- a/crates/kumquatquay-core/src/overload/controller.rs
+++ b/crates/kumquatquay-core/src/overload/controller.rs
@@ -5,7 +5,7 @@
 use kumquatquay_wire::{Importance, ServiceLevel};
 
 use super::{
-    learnt_level::LearntLevel,
+    observed_level::ObservedLevel,
     route::{Route, RouteKey},
     service_table::{Service, ServiceId},
 };
@@ -25,11 +25,11 @@
 
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, _out: &mut Vec<Output>) {
     let now = now.monotonic;
-    if now.saturating_sub(board.overload.swept) < SWEEP_INTERVAL {
+    if now.saturating_sub(board.overload.last_sweep) < SWEEP_INTERVAL {
         return;
     }
-    board.overload.swept = now;
-    board.overload.ledgers.lapse(now);
+    board.overload.last_sweep = now;
+    board.overload.ledgers.remove_expired(now);
     forget_targets(board);
 }
 
@@ -47,14 +47,14 @@
 /// Takes in a level that another node tells of.
 pub(crate) fn on_level_rumour(board: &mut Blackboard, now: Moment, level: ServiceLevel) {
     if !is_answered_for(board, now.monotonic, &level) {
-        learn_levels(board, now.monotonic, &[level]);
+        observe_levels(board, now.monotonic, &[level]);
     }
 }
 
 /// Whether answers told of a level lately. They come from all gates; a rumour
 /// comes only from those that refuse, and would close a service that has room.
 fn is_answered_for(board: &Blackboard, now: Duration, level: &ServiceLevel) -> bool {
-    let known = board.overload.services.known_id(&level.service);
+    let known = board.overload.services.id(&level.service);
     let Some(id) = known else {
         return false;
     };
@@ -69,7 +69,7 @@
 /// One slow backend server fills its gate, refuses and raises its level, while its
 /// peers have room. An average would refuse callers at the entry that the peers
 /// could serve; calls that the slow one refuses are made again there.
-pub(crate) fn learn_gate_level(
+pub(crate) fn observe_gate_level(
     board: &mut Blackboard,
     now: Duration,
     peer: SocketAddr,
@@ -85,21 +85,21 @@
     let targets = beside.filter_map(|candidate| overload.targets.get(&candidate.peer));
     let levels = targets.filter_map(|target| target.level(now));
     let least = levels.min().unwrap_or(told.least_admitted);
-    if let Some(id) = overload.services.id_of(&told.service) {
+    if let Some(id) = overload.services.get_or_insert_id(&told.service) {
         let service = overload.services.get_mut(id);
         service.observe_level(&told.data_centre, least, now);
     }
 }
 
 /// Takes in levels from an answer or a rumour; says which services they name.
-pub(crate) fn learn_levels(
+pub(crate) fn observe_levels(
     board: &mut Blackboard,
     now: Duration,
     levels: &[ServiceLevel],
 ) -> Vec<ServiceId> {
     let mut named = Vec::with_capacity(levels.len());
     for level in levels {
-        let Some(id) = board.overload.services.id_of(&level.service) else {
+        let Some(id) = board.overload.services.get_or_insert_id(&level.service) else {
             continue;
         };
         if !named.contains(&id) {
@@ -114,18 +114,18 @@
 }
 
 /// Levels that this node has to tell others: its own, then those it learnt.
-pub(crate) fn levels_to_tell(board: &Blackboard, now: Moment) -> Vec<ServiceLevel> {
+pub(crate) fn levels_to_gossip(board: &Blackboard, now: Moment) -> Vec<ServiceLevel> {
     if !board.settings.policy.has_levels {
         return Vec::new();
     }
     let now = now.monotonic;
     let own = own_level(board).filter(|level| {
-        let changed = board.gate.setter.changed();
+        let changed = board.gate.level_controller.last_change();
         let is_news = changed.is_some_and(|at| now.saturating_sub(at) < TOLD_AFTER_CHANGE);
         is_news || level.least_admitted > Importance::LEAST
     });
     let learnt = board.overload.services.iter();
-    let learnt = learnt.flat_map(|service| told_levels(service, now, false));
+    let learnt = learnt.flat_map(|service| known_levels(service, now, false));
     own.into_iter()
         .chain(learnt)
         .take(TOLD_LIMIT_COUNT)
@@ -138,14 +138,14 @@
     Some(ServiceLevel {
         service,
         data_centre: board.settings.data_centre.clone(),
-        least_admitted: board.gate.setter.level(),
+        least_admitted: board.gate.level_controller.level(),
         age_ms: 0,
     })
 }
 
 /// What this node passes on of a service: levels that refuse something and
 /// that somebody confirmed lately, or all of them.
-pub(crate) fn told_levels(
+pub(crate) fn known_levels(
     service: &Service,
     now: Duration,
     is_whole: bool,
@@ -153,7 +153,7 @@
     service
         .levels
         .iter()
-        .filter(move |level| is_whole || (!level.is_open() && !level.has_lapsed(now)))
+        .filter(move |level| is_whole || (!level.admits_all() && !level.is_expired(now)))
         .map(move |level| ServiceLevel {
             service: service.name.clone(),
             data_centre: level.data_centre.clone(),
@@ -187,7 +187,7 @@
     importance: Importance,
 ) -> bool {
     let service = board.overload.services.get(id);
-    if service.is_open() || !board.settings.policy.has_levels {
+    if service.admits_all() || !board.settings.policy.has_levels {
         return true;
     }
     let jitter = board.overload.jitter;
@@ -200,6 +200,6 @@
 
 /// The highest level of a service, for the time to come back.
 pub(crate) fn highest_level(service: &Service) -> Importance {
-    let levels = service.levels.iter().map(LearntLevel::least_admitted);
+    let levels = service.levels.iter().map(ObservedLevel::least_admitted);
     levels.max().unwrap_or(Importance::LEAST)
 }
--- a/crates/kumquatquay-core/src/overload/two_generations.rs
+++ b/crates/kumquatquay-core/src/overload/generational_cache.rs
@@ -10,13 +10,13 @@
 /// used since. Each operation takes constant time, also under a flood of new
 /// keys, which a scan for the oldest entry would not.
 #[derive(Debug)]
-pub(crate) struct TwoGenerations<K, V> {
+pub(crate) struct GenerationalCache<K, V> {
     young: HashMap<K, V>,
     old: HashMap<K, V>,
     half_limit_count: usize,
 }
 
-impl<K: Eq + Hash + Copy, V> TwoGenerations<K, V> {
+impl<K: Eq + Hash + Copy, V> GenerationalCache<K, V> {
     pub(crate) fn new(limit_count: usize) -> Self {
         Self {
             young: HashMap::new(),
--- a/crates/kumquatquay-core/src/overload/ledger.rs
+++ b/crates/kumquatquay-core/src/overload/ledger.rs
@@ -4,7 +4,7 @@
 
 use kumquatquay_wire::{AnswerContext, CallerName, Importance, RequestContext, RequestId, TraceId};
 
-use super::{allowance::Allowance, service_table::ServiceId};
+use super::{retry_allowance::RetryAllowance, service_table::ServiceId};
 use crate::CallId;
 
 /// Services that a ledger remembers; a subtree that touches more names these.
@@ -24,7 +24,7 @@
     /// When the answer must be there, on the monotonic clock.
     pub(crate) deadline: Duration,
     /// Retries left.
-    pub(crate) allowance: Allowance,
+    pub(crate) allowance: RetryAllowance,
     /// Calls between the entry and this host.
     pub(crate) depth_count: u8,
     /// Whether each call has to be paid, because an earlier attempt of this
@@ -36,11 +36,11 @@
     /// greatest number once an answer was lost, since nobody knows any more.
     pub(crate) attempts_count: u16,
     /// Services touched so far by the subtree.
-    pub(crate) touched: Vec<ServiceId>,
+    pub(crate) reached_services: Vec<ServiceId>,
     /// Calls that are out.
-    pub(crate) calls_out: Vec<CallId>,
+    pub(crate) outgoing_calls: Vec<CallId>,
     /// How long calls have been out.
-    pub(crate) waiting: Waiting,
+    pub(crate) outgoing_call_time: OutgoingCallTime,
 }
 
 impl Ledger {
@@ -59,19 +59,19 @@
             caller,
             importance,
             deadline,
-            allowance: Allowance::new(allowance_count),
+            allowance: RetryAllowance::new(allowance_count),
             depth_count: 0,
             is_repeat: false,
             wants_services: false,
             attempts_count: 0,
-            touched: Vec::new(),
-            calls_out: Vec::new(),
-            waiting: Waiting::default(),
+            reached_services: Vec::new(),
+            outgoing_calls: Vec::new(),
+            outgoing_call_time: OutgoingCallTime::default(),
         }
     }
 
     /// The ledger of a part that another node sent.
-    pub(crate) fn of_context(context: &RequestContext, deadline: Duration) -> Self {
+    pub(crate) fn from_context(context: &RequestContext, deadline: Duration) -> Self {
         let whole = Self::new(
             context.trace,
             context.request,
@@ -95,17 +95,17 @@
     }
 
     /// Takes off free attempts that were paid for later.
-    pub(crate) fn pay_off_attempts(&mut self, paid_count: u16) {
+    pub(crate) fn deduct_paid_attempts(&mut self, paid_count: u16) {
         if self.attempts_count != AnswerContext::ATTEMPTS_UNKNOWN {
             self.attempts_count = self.attempts_count.saturating_sub(paid_count);
         }
     }
 
     /// Notes that the subtree touched a service.
-    pub(crate) fn touch(&mut self, service: ServiceId) {
-        let has_room = self.touched.len() < TOUCHED_LIMIT_COUNT;
-        if has_room && !self.touched.contains(&service) {
-            self.touched.push(service);
+    pub(crate) fn add_reached_service(&mut self, service: ServiceId) {
+        let has_room = self.reached_services.len() < TOUCHED_LIMIT_COUNT;
+        if has_room && !self.reached_services.contains(&service) {
+            self.reached_services.push(service);
         }
     }
 }
@@ -115,15 +115,15 @@
 /// The gate takes it off the latency, so that a slow service further down does
 /// not look like a lack of room here.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Waiting {
+pub(crate) struct OutgoingCallTime {
     calls_out_count: u32,
     since: Duration,
     total: Duration,
 }
 
-impl Waiting {
+impl OutgoingCallTime {
     /// A call goes out.
-    pub(crate) fn begin(&mut self, now: Duration) {
+    pub(crate) fn on_call_started(&mut self, now: Duration) {
         if self.calls_out_count == 0 {
             self.since = now;
         }
@@ -131,7 +131,7 @@
     }
 
     /// A call was answered.
-    pub(crate) fn end(&mut self, now: Duration) {
+    pub(crate) fn on_call_ended(&mut self, now: Duration) {
         self.calls_out_count = self.calls_out_count.saturating_sub(1);
         if self.calls_out_count == 0 {
             self.total += now.saturating_sub(self.since);
--- a/crates/kumquatquay-core/src/overload/ledger_table.rs
+++ b/crates/kumquatquay-core/src/overload/ledger_table.rs
@@ -33,7 +33,7 @@
     }
 
     /// Opens the ledger of work for the backend server; calls find it.
-    pub(crate) fn open_for_work(&mut self, token: LedgerToken, ledger: Ledger) {
+    pub(crate) fn insert_for_work(&mut self, token: LedgerToken, ledger: Ledger) {
         let same_trace = self.by_trace.entry(ledger.trace).or_default();
         if same_trace.len() < SAME_TRACE_LIMIT_COUNT {
             same_trace.push(token);
@@ -45,7 +45,7 @@
     ///
     /// It is not found by trace: whoever sends the trace id of somebody else's
     /// request from outside must not inherit anything from it.
-    pub(crate) fn open_for_call(&mut self, token: LedgerToken, ledger: Ledger) {
+    pub(crate) fn insert_for_call(&mut self, token: LedgerToken, ledger: Ledger) {
         self.ledgers.insert(token, ledger);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Ends a ledger; calls that come later find none.
-    pub(crate) fn end(&mut self, token: LedgerToken) -> Option<Ledger> {
+    pub(crate) fn remove(&mut self, token: LedgerToken) -> Option<Ledger> {
         let ledger = self.ledgers.remove(&token)?;
         if let Some(same_trace) = self.by_trace.get_mut(&ledger.trace) {
             same_trace.retain(|other| *other != token);
@@ -102,15 +102,15 @@
     }
 
     /// Ends ledgers whose deadline passed long ago.
-    pub(crate) fn lapse(&mut self, now: Duration) {
-        let lapsed: Vec<_> = self
+    pub(crate) fn remove_expired(&mut self, now: Duration) {
+        let expired: Vec<_> = self
             .ledgers
             .iter()
             .filter(|(_, ledger)| ledger.deadline + LAPSE_GRACE < now)
             .map(|(token, _)| *token)
             .collect();
-        for token in lapsed {
-            self.end(token);
+        for token in expired {
+            self.remove(token);
         }
     }
 }
--- a/crates/kumquatquay-core/src/overload/level_setter.rs
+++ b/crates/kumquatquay-core/src/overload/level_controller.rs
@@ -65,10 +65,10 @@
 /// lowers it by as many cohorts as should fill half of that room, and by a band
 /// that doubles where that says nothing, as between two classes.
 #[derive(Debug)]
-pub(crate) struct LevelSetter {
+pub(crate) struct LevelController {
     level: Importance,
     band: u32,
-    changed: Option<Duration>,
+    last_change: Option<Duration>,
     window: Window,
     window_began: Duration,
     arrivals: VecDeque<(Duration, Importance)>,
@@ -77,19 +77,19 @@
 
 /// How much work a gate has room for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct GateRoom {
+pub(crate) struct GateCapacity {
     /// Work that may run at the same time.
     pub(crate) limit_count: usize,
     /// Work that may wait.
     pub(crate) queue_count: usize,
     /// Mean time to run work, in seconds.
-    pub(crate) run_s: f64,
+    pub(crate) run_time_s: f64,
 }
 
-impl GateRoom {
+impl GateCapacity {
     /// The wait at the end of a full queue, in seconds.
     fn full_wait_s(self) -> f64 {
-        self.run_s * self.queue_count as f64 / self.limit_count.max(1) as f64
+        self.run_time_s * self.queue_count as f64 / self.limit_count.max(1) as f64
     }
 
     /// Share of arrivals that a gate refuses by chance when the load is just what
@@ -112,12 +112,12 @@
     busy_ratio: f64,
 }
 
-impl Default for LevelSetter {
+impl Default for LevelController {
     fn default() -> Self {
         Self {
             level: Importance::LEAST,
             band: FIRST_BAND,
-            changed: None,
+            last_change: None,
             window: Window::default(),
             window_began: Duration::ZERO,
             arrivals: VecDeque::new(),
@@ -126,19 +126,19 @@
     }
 }
 
-impl LevelSetter {
+impl LevelController {
     /// The least importance admitted now.
     pub(crate) fn level(&self) -> Importance {
         self.level
     }
 
     /// Time since the level changed; `None` if it never did.
-    pub(crate) fn changed(&self) -> Option<Duration> {
-        self.changed
+    pub(crate) fn last_change(&self) -> Option<Duration> {
+        self.last_change
     }
 
     /// Work arrived at the gate.
-    pub(crate) fn on_arrived(&mut self, now: Duration, importance: Importance) {
+    pub(crate) fn on_arrival(&mut self, now: Duration, importance: Importance) {
         if self.arrivals.len() >= ARRIVALS_LIMIT_COUNT {
             self.arrivals.pop_front();
         }
@@ -168,15 +168,15 @@
     }
 
     /// Notes how much of the limit is in use.
-    pub(crate) fn on_busy(&mut self, running_count: usize, limit_count: usize) {
+    pub(crate) fn on_utilization(&mut self, running_count: usize, limit_count: usize) {
         self.window.samples_count += 1;
         self.window.busy_ratio += running_count as f64 / limit_count.max(1) as f64;
     }
 
     /// Ends the window if it is time.
-    pub(crate) fn on_tick(&mut self, now: Duration, room: GateRoom) {
+    pub(crate) fn on_tick(&mut self, now: Duration, room: GateCapacity) {
         let lasted = now.saturating_sub(self.window_began);
-        let run = Duration::from_secs_f64(room.run_s).clamp(WINDOW_LEAST, WINDOW_GREATEST);
+        let run = Duration::from_secs_f64(room.run_time_s).clamp(WINDOW_LEAST, WINDOW_GREATEST);
         let is_poor = self.window.arrived_count < WINDOW_ARRIVALS_COUNT;
         if lasted < run || (is_poor && lasted < WINDOW_GREATEST) {
             return;
@@ -245,7 +245,7 @@
     fn set(&mut self, now: Duration, level: Importance) {
         if level != self.level {
             self.level = level;
-            self.changed = Some(now);
+            self.last_change = Some(now);
         }
     }
 }
--- a/crates/kumquatquay-core/src/overload/learnt_level.rs
+++ b/crates/kumquatquay-core/src/overload/observed_level.rs
@@ -25,14 +25,14 @@
 /// kept, weighted by what they answer. A level passes on through several nodes, and
 /// the average of each comes late; where answers are few, the newest counts most.
 #[derive(Clone, Debug)]
-pub(crate) struct LearntLevel {
+pub(crate) struct ObservedLevel {
     /// Where the backend servers are.
     pub(crate) data_centre: DataCentreName,
     least_admitted: f64,
     observed: Duration,
 }
 
-impl LearntLevel {
+impl ObservedLevel {
     pub(crate) fn new(data_centre: DataCentreName, told: Importance, observed: Duration) -> Self {
         Self {
             data_centre,
@@ -60,7 +60,7 @@
     }
 
     /// Whether it refuses anything while it is fresh.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn admits_all(&self) -> bool {
         self.least_admitted < 0.5
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Whether nobody confirmed it for so long that it counts for nothing.
-    pub(crate) fn has_lapsed(&self, now: Duration) -> bool {
+    pub(crate) fn is_expired(&self, now: Duration) -> bool {
         self.age(now) >= LAPSE_LAST
     }
 
--- a/crates/kumquatquay-core/src/overload/overload_table.rs
+++ b/crates/kumquatquay-core/src/overload/overload_table.rs
@@ -6,9 +6,9 @@
 
 use super::{
     LedgerTable, Target,
+    generational_cache::GenerationalCache,
     route::{Route, RouteKey},
     service_table::{ServiceId, ServiceTable},
-    two_generations::TwoGenerations,
 };
 
 /// Routes that are remembered; the ones that were not used for longest go first.
@@ -19,7 +19,7 @@
 pub(crate) struct OverloadTable {
     pub(crate) ledgers: LedgerTable,
     pub(crate) services: ServiceTable,
-    pub(crate) routes: TwoGenerations<RouteKey, Route>,
+    pub(crate) routes: GenerationalCache<RouteKey, Route>,
     /// Backend servers that were called, by peer address.
     pub(crate) targets: HashMap<SocketAddr, Target>,
     /// This node's place among those that forget a level, from 0 to 1.
@@ -27,7 +27,7 @@
     /// Seed of route keys.
     pub(crate) route_seed: u64,
     /// When ledgers and targets were last cleared of what has lapsed.
-    pub(crate) swept: Duration,
+    pub(crate) last_sweep: Duration,
 }
 
 impl OverloadTable {
@@ -35,11 +35,11 @@
         Self {
             ledgers: LedgerTable::default(),
             services: ServiceTable::default(),
-            routes: TwoGenerations::new(ROUTES_LIMIT_COUNT),
+            routes: GenerationalCache::new(ROUTES_LIMIT_COUNT),
             targets: HashMap::new(),
             jitter: random.random(),
             route_seed: random.random(),
-            swept: Duration::ZERO,
+            last_sweep: Duration::ZERO,
         }
     }
 
--- a/crates/kumquatquay-core/src/overload/allowance.rs
+++ b/crates/kumquatquay-core/src/overload/retry_allowance.rs
@@ -9,37 +9,37 @@
 /// it did not spend. Nothing is ever added, so however deep or wide the call
 /// graph is, all nodes together pay for no more attempts than were granted.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Allowance {
-    left_count: u16,
+pub(crate) struct RetryAllowance {
+    remaining_count: u16,
     granted_count: u16,
 }
 
-impl Allowance {
+impl RetryAllowance {
     pub(crate) fn new(granted_count: u16) -> Self {
         Self {
-            left_count: granted_count,
+            remaining_count: granted_count,
             granted_count,
         }
     }
 
     /// Retries left.
-    pub(crate) fn left_count(&self) -> u16 {
-        self.left_count
+    pub(crate) fn remaining_count(&self) -> u16 {
+        self.remaining_count
     }
 
     /// Pays for a number of attempts; `false` if too little is left.
-    pub(crate) fn pay(&mut self, count: u16) -> bool {
-        let Some(left_count) = self.left_count.checked_sub(count) else {
+    pub(crate) fn try_spend(&mut self, count: u16) -> bool {
+        let Some(remaining_count) = self.remaining_count.checked_sub(count) else {
             return false;
         };
-        self.left_count = left_count;
+        self.remaining_count = remaining_count;
         true
     }
 
     /// Takes out the part that goes with an attempt.
     pub(crate) fn lend(&mut self, split: AllowanceSplit) -> u16 {
-        let lent_count = split.lent_count(self.left_count);
-        self.left_count -= lent_count;
+        let lent_count = split.lent_count(self.remaining_count);
+        self.remaining_count -= lent_count;
         lent_count
     }
 
@@ -47,14 +47,14 @@
     ///
     /// A callee that claims more than it was lent, by a fault or on purpose,
     /// would create retries out of nothing; the claim is cut to the loan.
-    pub(crate) fn take_back(&mut self, claimed_count: u16, lent_count: u16) {
+    pub(crate) fn reclaim(&mut self, claimed_count: u16, lent_count: u16) {
         let returned_count = claimed_count.min(lent_count);
-        let left_count = self.left_count.saturating_add(returned_count);
-        self.left_count = left_count.min(self.granted_count);
+        let remaining_count = self.remaining_count.saturating_add(returned_count);
+        self.remaining_count = remaining_count.min(self.granted_count);
     }
 
     /// Ends the loan: what is left goes back to who granted it.
-    pub(crate) fn give_back(&mut self) -> u16 {
-        std::mem::take(&mut self.left_count)
+    pub(crate) fn take_unspent(&mut self) -> u16 {
+        std::mem::take(&mut self.remaining_count)
     }
 }
--- a/crates/kumquatquay-core/src/overload/retry_budget.rs
+++ b/crates/kumquatquay-core/src/overload/retry_budget.rs
@@ -28,7 +28,7 @@
 }
 
 impl RetryBudget {
-    pub(crate) fn on_first_try(&mut self) {
+    pub(crate) fn on_first_attempt(&mut self) {
         self.left_count = (self.left_count + RETRY_RATIO).min(KEPT_RETRIES_COUNT);
     }
 
--- a/crates/kumquatquay-core/src/overload/route.rs
+++ b/crates/kumquatquay-core/src/overload/route.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether this call's answer should name the services.
-    pub(crate) fn ask(&mut self, now: Duration) -> bool {
+    pub(crate) fn begin_services_request(&mut self, now: Duration) -> bool {
         let is_due = self.asked.is_none_or(|asked| now - asked >= ASK_INTERVAL);
         if is_due {
             self.asked = Some(now);
@@ -73,7 +73,7 @@
 
     /// Takes in which services a call touched. A call that failed may have
     /// stopped early: it adds services but is no evidence against others.
-    pub(crate) fn learn(&mut self, touched: &[ServiceId], is_whole: bool) {
+    pub(crate) fn record_services(&mut self, reached_services: &[ServiceId], is_whole: bool) {
         let weight = if self.is_new { 1.0 } else { NEW_WEIGHT };
         if is_whole {
             self.is_new = false;
@@ -81,7 +81,7 @@
                 reached.reached_ratio *= 1.0 - weight;
             }
         }
-        for service in touched {
+        for service in reached_services {
             self.raise(*service, weight);
         }
         self.services
@@ -103,12 +103,12 @@
     }
 
     /// Takes in how many attempts the subtree of a whole answer made.
-    pub(crate) fn learn_calls(&mut self, calls_count: u16) {
+    pub(crate) fn record_attempts(&mut self, calls_count: u16) {
         self.calls_count += NEW_WEIGHT * (f32::from(calls_count) - self.calls_count);
     }
 
     /// Attempts that a repeat of the subtree is expected to make.
-    pub(crate) fn expected_calls_count(&self) -> u16 {
+    pub(crate) fn expected_attempts_count(&self) -> u16 {
         self.calls_count.ceil() as u16
     }
 
--- a/crates/kumquatquay-core/src/overload/routing.rs
+++ b/crates/kumquatquay-core/src/overload/routing.rs
@@ -84,7 +84,7 @@
         let service = wanted.service.map(|id| overload.services.get(id));
         let jitter = overload.jitter;
         service.is_none_or(|service| {
-            service.is_open()
+            service.admits_all()
                 || service.admits(&candidate.data_centre, now, wanted.importance, jitter)
         })
     };
--- a/crates/kumquatquay-core/src/overload/service_table.rs
+++ b/crates/kumquatquay-core/src/overload/service_table.rs
@@ -4,7 +4,7 @@
 
 use kumquatquay_wire::{Importance, ServiceName};
 
-use super::{learnt_level::LearntLevel, retry_budget::RetryBudget};
+use super::{observed_level::ObservedLevel, retry_budget::RetryBudget};
 
 /// Services that a node keeps something of; the others are called without
 /// levels and without retries.
@@ -24,7 +24,7 @@
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
     /// Levels, one for each data centre.
-    pub(crate) levels: Vec<LearntLevel>,
+    pub(crate) levels: Vec<ObservedLevel>,
     pub(crate) retry_budget: RetryBudget,
     /// Average time to an answer of a run call, in seconds; 0 before the first.
     pub(crate) latency_s: f64,
@@ -61,7 +61,7 @@
             return;
         }
         if self.levels.len() < DATA_CENTRES_LIMIT_COUNT {
-            let level = LearntLevel::new(String::from(data_centre), told, at);
+            let level = ObservedLevel::new(String::from(data_centre), told, at);
             self.levels.push(level);
         }
     }
@@ -82,8 +82,8 @@
     }
 
     /// Whether no data centre refuses anything, which spares closer looks.
-    pub(crate) fn is_open(&self) -> bool {
-        self.levels.iter().all(LearntLevel::is_open)
+    pub(crate) fn admits_all(&self) -> bool {
+        self.levels.iter().all(ObservedLevel::admits_all)
     }
 }
 
@@ -96,7 +96,7 @@
 
 impl ServiceTable {
     /// The number of a service; `None` if too many are known already.
-    pub(crate) fn id_of(&mut self, name: &str) -> Option<ServiceId> {
+    pub(crate) fn get_or_insert_id(&mut self, name: &str) -> Option<ServiceId> {
         if let Some(id) = self.ids.get(name) {
             return Some(*id);
         }
@@ -110,7 +110,7 @@
     }
 
     /// The number of a service that is kept already.
-    pub(crate) fn known_id(&self, name: &str) -> Option<ServiceId> {
+    pub(crate) fn id(&self, name: &str) -> Option<ServiceId> {
         self.ids.get(name).copied()
     }
 
--- a/crates/kumquatquay-core/src/state_dump.rs
+++ b/crates/kumquatquay-core/src/state_dump.rs
@@ -177,7 +177,7 @@
             running_count: board.gate.running_count(),
             queued_count: board.gate.queued_count(),
             gate_limit_count: board.gate.limit.limit_count(),
-            gate_level: board.gate.setter.level().to_string(),
+            gate_level: board.gate.level_controller.level().to_string(),
             ledgers_count: board.overload.ledgers.len(),
             levels: LevelDump::all(board, now),
             routes: RouteDump::some(board),
