--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -8,7 +8,7 @@
 use crate::{
     Blackboard, CallEnding, CallId, Counter, Moment, Output, StartAttempt,
     operations::{self, OperationStep},
-    overload::{self, Choice, Route, Wanted},
+    overload::{self, PickCriteria, PickedEndpoint, Route},
     quarantine::{self, Verdict},
 };
 
@@ -53,7 +53,7 @@
         refuse(board, now, id, refusals::too_late(), out);
         return;
     }
-    let Some(choice) = target_of(board, now, id, home.as_ref()) else {
+    let Some(picked) = pick_endpoint(board, now, id, home.as_ref()) else {
         refuse(board, now, id, refusals::no_backend_server(), out);
         return;
     };
@@ -61,7 +61,7 @@
         refuse(board, now, id, refusals::allowance_spent(), out);
         return;
     }
-    let peer = choice.peer;
+    let peer = picked.peer;
     let is_home = home.is_some();
     let attempt = board.next_id();
     let wants_services = asks_for_services(board, now.monotonic, id);
@@ -79,7 +79,7 @@
         home,
     });
     if !is_home {
-        overload::on_sent(board, choice);
+        overload::on_sent(board, picked);
     }
     let Some(context) = context_of(board, now.monotonic, id) else {
         return;
@@ -116,15 +116,15 @@
     (left / MARGIN_DIVISOR).clamp(MARGIN_LEAST, MARGIN_GREATEST)
 }
 
-fn target_of(
+fn pick_endpoint(
     board: &mut Blackboard,
     now: Moment,
     id: CallId,
     home: Option<&OperationRef>,
-) -> Option<Choice> {
+) -> Option<PickedEndpoint> {
     let call = board.calls.calls.get(&id)?;
     if let Some(home) = home {
-        return Some(Choice::of_home(home));
+        return Some(PickedEndpoint::home(home));
     }
     let service = call.arrived.service.clone();
     let verdict = quarantine::check(board, now, &service, call.fingerprint);
@@ -133,16 +133,16 @@
         .then(|| quarantine::proving_target(board, &service))
         .flatten();
     if let Some(peer) = proving {
-        return overload::choice_of(board, &service, peer);
+        return overload::endpoint_at(board, &service, peer);
     }
     let tried = call.tried.clone();
-    let wanted = Wanted {
+    let criteria = PickCriteria {
         service: call.service,
         importance: call.importance,
         tried: &tried,
-        is_spread: call.caller_limit_per_s > 0,
+        uses_all_data_centres: call.caller_limit_per_s > 0,
     };
-    overload::choose(board, now.monotonic, &service, wanted)
+    overload::pick(board, now.monotonic, &service, criteria)
 }
 
 /// Pays for what an attempt adds to a clean run.
--- a/crates/kumquatquay-core/src/call/ending.rs
+++ b/crates/kumquatquay-core/src/call/ending.rs
@@ -14,7 +14,7 @@
     Moment, Output, Refusal,
     explain::{self, RefusedCall},
     operations::{self, OperationVerdict},
-    overload::{self, Route, TargetResult},
+    overload::{self, EndpointResult, Route},
     quarantine,
 };
 
@@ -152,19 +152,19 @@
     let (ledger, service, route) = (call.ledger, call.service, call.route);
     let called_name = call.arrived.service.clone();
     let took = now.monotonic - attempt.started;
-    let target_result = match (result, answer) {
-        (_, Some(answer)) if answer.outcome == Outcome::Ran => TargetResult::Ran(took),
-        (_, Some(answer)) if answer.outcome == Outcome::NotRun => TargetResult::Refused,
-        (AttemptResult::TimedOut, _) => TargetResult::GivenUp,
-        _ => TargetResult::Failed,
+    let endpoint_result = match (result, answer) {
+        (_, Some(answer)) if answer.outcome == Outcome::Ran => EndpointResult::Ran(took),
+        (_, Some(answer)) if answer.outcome == Outcome::NotRun => EndpointResult::Rejected,
+        (AttemptResult::TimedOut, _) => EndpointResult::Cancelled,
+        _ => EndpointResult::Failed,
     };
-    let target_service = service.filter(|_| attempt.home.is_none());
+    let endpoint_service = service.filter(|_| attempt.home.is_none());
     overload::on_ended(
         board,
         now.monotonic,
-        target_service,
+        endpoint_service,
         attempt.peer,
-        target_result,
+        endpoint_result,
     );
     let Some(answer) = answer else {
         settle_without_answer(board, ledger, attempt, result);
@@ -178,10 +178,10 @@
         }
         reached_services = overload::observe_levels(board, now.monotonic, others);
     }
-    let target = board.overload.targets.get_mut(&attempt.peer);
-    if let Some(target) = target.filter(|_| attempt.home.is_none()) {
-        target.on_load(now.monotonic, answer.load);
-        target.on_leaving(now.monotonic, answer.is_leaving);
+    let endpoint = board.overload.endpoints.get_mut(&attempt.peer);
+    if let Some(endpoint) = endpoint.filter(|_| attempt.home.is_none()) {
+        endpoint.on_load_report(now.monotonic, answer.load);
+        endpoint.on_leaving(now.monotonic, answer.is_leaving);
     }
     if let Some(ledger) = board.overload.ledgers.get_mut(ledger) {
         let claimed_count = answer.allowance_returned_count;
@@ -412,7 +412,13 @@
         let call = board.calls.calls.get(&id);
         let out_there = call.and_then(|call| Some((call.service, call.attempt.as_ref()?.peer)));
         if let Some((service, peer)) = out_there {
-            overload::on_ended(board, now.monotonic, service, peer, TargetResult::GivenUp);
+            overload::on_ended(
+                board,
+                now.monotonic,
+                service,
+                peer,
+                EndpointResult::Cancelled,
+            );
         }
         let refusal = refusals::timed_out(Outcome::Unknown);
         finish(board, now, id, CallEnding::Refuse(refusal), out);
@@ -475,7 +481,7 @@
         now.monotonic,
         service,
         attempt.peer,
-        TargetResult::GivenUp,
+        EndpointResult::Cancelled,
     );
     out.push(Output::CancelAttempt {
         call: id,
--- a/crates/kumquatquay-core/src/overload/controller.rs
+++ b/crates/kumquatquay-core/src/overload/controller.rs
@@ -30,18 +30,18 @@
     }
     board.overload.last_sweep = now;
     board.overload.ledgers.remove_expired(now);
-    forget_targets(board);
+    remove_departed_endpoints(board);
 }
 
 /// Forgets backend servers that are gone, once nothing is out there.
-fn forget_targets(board: &mut Blackboard) {
-    let is_crowded = board.overload.targets.len() > board.members.iter().count();
+fn remove_departed_endpoints(board: &mut Blackboard) {
+    let is_crowded = board.overload.endpoints.len() > board.members.iter().count();
     if !is_crowded {
         return;
     }
     let peers: BTreeSet<_> = board.members.iter().map(|member| member.peer).collect();
-    let targets = &mut board.overload.targets;
-    targets.retain(|peer, target| target.outstanding_count > 0 || peers.contains(peer));
+    let endpoints = &mut board.overload.endpoints;
+    endpoints.retain(|peer, endpoint| endpoint.outstanding_count > 0 || peers.contains(peer));
 }
 
 /// Takes in a level that another node tells of.
@@ -76,14 +76,14 @@
     told: &ServiceLevel,
 ) {
     let overload = &mut board.overload;
-    let Some(target) = overload.targets.get_mut(&peer) else {
+    let Some(endpoint) = overload.endpoints.get_mut(&peer) else {
         return;
     };
-    target.on_level(now, told.least_admitted);
+    endpoint.on_level(now, told.least_admitted);
     let candidates = board.members.candidates(&told.service).iter();
     let beside = candidates.filter(|candidate| candidate.data_centre == told.data_centre);
-    let targets = beside.filter_map(|candidate| overload.targets.get(&candidate.peer));
-    let levels = targets.filter_map(|target| target.level(now));
+    let endpoints = beside.filter_map(|candidate| overload.endpoints.get(&candidate.peer));
+    let levels = endpoints.filter_map(|endpoint| endpoint.level(now));
     let least = levels.min().unwrap_or(told.least_admitted);
     if let Some(id) = overload.services.get_or_insert_id(&told.service) {
         let service = overload.services.get_mut(id);
--- a/crates/kumquatquay-core/src/overload/target.rs
+++ b/crates/kumquatquay-core/src/overload/endpoint.rs
@@ -36,7 +36,7 @@
 
 /// One backend server, as this node's own calls see it.
 #[derive(Clone, Debug)]
-pub(crate) struct Target {
+pub(crate) struct Endpoint {
     incarnation: Incarnation,
     /// Calls that this node has out there.
     pub(crate) outstanding_count: u32,
@@ -44,7 +44,7 @@
     failed_ratio: f64,
     results_count: u32,
     load_ratio: f64,
-    load_told: Duration,
+    load_reported: Duration,
     /// The level of its gate, and when it told it.
     level: Option<(Importance, Duration)>,
     leaving_until: Duration,
@@ -54,7 +54,7 @@
     since: Duration,
 }
 
-impl Target {
+impl Endpoint {
     pub(crate) fn new(incarnation: Incarnation, since: Duration) -> Self {
         Self {
             incarnation,
@@ -63,7 +63,7 @@
             failed_ratio: 0.0,
             results_count: 0,
             load_ratio: 0.0,
-            load_told: Duration::ZERO,
+            load_reported: Duration::ZERO,
             level: None,
             leaving_until: Duration::ZERO,
             is_reported_ill: false,
@@ -73,14 +73,14 @@
     }
 
     /// Whether what is known belongs to an earlier life.
-    pub(crate) fn is_of_other_life(&self, incarnation: Incarnation) -> bool {
+    pub(crate) fn has_other_incarnation(&self, incarnation: Incarnation) -> bool {
         self.incarnation != incarnation
     }
 
-    pub(crate) fn on_load(&mut self, now: Duration, load: LoadReport) {
+    pub(crate) fn on_load_report(&mut self, now: Duration, load: LoadReport) {
         let asked_count = load.in_flight_count + load.queued_count;
         self.load_ratio = f64::from(asked_count) / f64::from(load.limit_count.max(1));
-        self.load_told = now;
+        self.load_reported = now;
         self.is_reported_ill = load.is_reported_ill;
     }
 
@@ -159,7 +159,7 @@
         } else {
             service_latency_s
         };
-        let is_told = now.saturating_sub(self.load_told) < LOAD_LAPSE;
+        let is_told = now.saturating_sub(self.load_reported) < LOAD_LAPSE;
         let load_ratio = if is_told { self.load_ratio } else { 0.0 };
         let own_ratio = f64::from(self.outstanding_count + 1) / f64::from(slots_count.max(1));
         let work = (own_ratio + load_ratio) * latency_s.max(1e-6);
--- a/crates/kumquatquay-core/src/overload/routing.rs
+++ b/crates/kumquatquay-core/src/overload/load_balancing.rs
@@ -5,7 +5,7 @@
 use kumquatquay_wire::{Importance, Incarnation, OperationRef};
 use rand::Rng;
 
-use super::{Target, service_table::ServiceId};
+use super::{Endpoint, service_table::ServiceId};
 use crate::{Blackboard, membership::Candidate};
 
 /// How often a drawn candidate that can't be taken is drawn again before all
@@ -21,7 +21,7 @@
 
 /// What is asked of a backend server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct PickCriteria<'a> {
     /// Service that is called; `None` if nothing is kept of it.
     pub(crate) service: Option<ServiceId>,
     /// Importance of the call.
@@ -30,20 +30,20 @@
     pub(crate) tried: &'a [SocketAddr],
     /// Whether all data centres take their share, so that the limit of a
     /// caller, which is divided among all backend servers, can be used up.
-    pub(crate) is_spread: bool,
+    pub(crate) uses_all_data_centres: bool,
 }
 
 /// Where a call goes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Choice {
+pub(crate) struct PickedEndpoint {
     pub(crate) peer: SocketAddr,
     incarnation: Incarnation,
     since: Duration,
 }
 
-impl Choice {
+impl PickedEndpoint {
     /// The home of an operation, which is not chosen.
-    pub(crate) fn of_home(home: &OperationRef) -> Self {
+    pub(crate) fn home(home: &OperationRef) -> Self {
         Self {
             peer: home.home,
             incarnation: home.home_incarnation,
@@ -61,48 +61,52 @@
 }
 
 /// The backend server at an address, if it takes calls of a service.
-pub(crate) fn choice_of(board: &Blackboard, name: &String, peer: SocketAddr) -> Option<Choice> {
+pub(crate) fn endpoint_at(
+    board: &Blackboard,
+    name: &String,
+    peer: SocketAddr,
+) -> Option<PickedEndpoint> {
     let mut candidates = board.members.candidates(name).iter();
     let candidate = candidates.find(|candidate| candidate.peer == peer);
-    candidate.map(Choice::new)
+    candidate.map(PickedEndpoint::new)
 }
 
 /// Chooses the better of two backend servers drawn at random.
 ///
 /// The own data centre goes first. Calls that it would refuse for want of room
 /// go to data centres that admit them.
-pub(crate) fn choose(
+pub(crate) fn pick(
     board: &mut Blackboard,
     now: Duration,
     name: &String,
-    wanted: Wanted<'_>,
-) -> Option<Choice> {
+    criteria: PickCriteria<'_>,
+) -> Option<PickedEndpoint> {
     let candidates = board.members.candidates(name);
     let random = &mut board.random;
     let overload = &board.overload;
     let is_admitted = |candidate: &Candidate| {
-        let service = wanted.service.map(|id| overload.services.get(id));
+        let service = criteria.service.map(|id| overload.services.get(id));
         let jitter = overload.jitter;
         service.is_none_or(|service| {
             service.admits_all()
-                || service.admits(&candidate.data_centre, now, wanted.importance, jitter)
+                || service.admits(&candidate.data_centre, now, criteria.importance, jitter)
         })
     };
     let own_count = candidates.partition_point(|candidate| candidate.is_own_data_centre);
     let (own, others) = candidates.split_at(own_count);
     let is_own_open = own.first().is_some_and(is_admitted);
     let can_spill = others.iter().any(is_admitted);
-    let pool = if wanted.is_spread {
+    let pool = if criteria.uses_all_data_centres {
         candidates
     } else if own.is_empty() || (!is_own_open && can_spill) {
         others
     } else {
         own
     };
-    let is_spilling = !is_own_open && !wanted.is_spread;
+    let is_spilling = !is_own_open && !criteria.uses_all_data_centres;
     let fits = |candidate: &&Candidate| {
-        let is_tried = wanted.tried.contains(&candidate.peer);
-        let is_ejected = overload.is_ejected(wanted.service, candidate.peer, now);
+        let is_tried = criteria.tried.contains(&candidate.peer);
+        let is_ejected = overload.is_ejected(criteria.service, candidate.peer, now);
         let is_leaving = overload.is_leaving(candidate.peer, now);
         let is_out = is_ejected || is_leaving;
         let is_doubtful = candidate.is_warming || candidate.is_suspect || is_out;
@@ -112,13 +116,13 @@
     let first = draw(random, pool, fits);
     let second = draw(random, pool, fits);
     let chosen = match (first, second) {
-        (Some(first), Some(second)) => Some(better(overload, now, wanted.service, first, second)),
-        _ => last_resort(pool, fits, wanted.tried).or_else(|| {
-            let untried = |candidate: &&Candidate| !wanted.tried.contains(&candidate.peer);
+        (Some(first), Some(second)) => Some(better(overload, now, criteria.service, first, second)),
+        _ => last_resort(pool, fits, criteria.tried).or_else(|| {
+            let untried = |candidate: &&Candidate| !criteria.tried.contains(&candidate.peer);
             candidates.iter().find(untried).or(candidates.first())
         }),
     };
-    chosen.map(Choice::new)
+    chosen.map(PickedEndpoint::new)
 }
 
 fn draw<'a>(
@@ -160,15 +164,15 @@
     let service_latency_s = service.map_or(0.0, |id| overload.services.get(id).latency_s);
     let look = |candidate: &Candidate| {
         let fresh;
-        let target = match overload.targets.get(&candidate.peer) {
-            Some(target) if !target.is_of_other_life(candidate.incarnation) => target,
+        let endpoint = match overload.endpoints.get(&candidate.peer) {
+            Some(endpoint) if !endpoint.has_other_incarnation(candidate.incarnation) => endpoint,
             _ => {
-                fresh = Target::new(candidate.incarnation, candidate.since);
+                fresh = Endpoint::new(candidate.incarnation, candidate.since);
                 &fresh
             }
         };
-        let cost = target.cost(now, service_latency_s, candidate.slots_count);
-        (cost, target.is_reported_ill())
+        let cost = endpoint.cost(now, service_latency_s, candidate.slots_count);
+        (cost, endpoint.is_reported_ill())
     };
     let (first_cost, is_first_ill) = look(first);
     let (second_cost, is_second_ill) = look(second);
@@ -182,25 +186,25 @@
 }
 
 /// Notes that an attempt goes out to a backend server.
-pub(crate) fn on_sent(board: &mut Blackboard, choice: Choice) {
-    let fresh = || Target::new(choice.incarnation, choice.since);
-    let target = board.overload.targets.entry(choice.peer);
-    let target = target.or_insert_with(fresh);
-    if target.is_of_other_life(choice.incarnation) {
-        *target = fresh();
+pub(crate) fn on_sent(board: &mut Blackboard, picked: PickedEndpoint) {
+    let fresh = || Endpoint::new(picked.incarnation, picked.since);
+    let endpoint = board.overload.endpoints.entry(picked.peer);
+    let endpoint = endpoint.or_insert_with(fresh);
+    if endpoint.has_other_incarnation(picked.incarnation) {
+        *endpoint = fresh();
     }
-    target.outstanding_count += 1;
+    endpoint.outstanding_count += 1;
 }
 
 /// What an attempt tells of the backend server that it went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TargetResult {
+pub(crate) enum EndpointResult {
     /// It ran the call, in this time.
     Ran(Duration),
     /// It or its node refused for want of room: a matter of load, not of health.
-    Refused,
+    Rejected,
     /// The attempt was given up: no evidence.
-    GivenUp,
+    Cancelled,
     /// It failed.
     Failed,
 }
@@ -211,22 +215,22 @@
     now: Duration,
     service: Option<ServiceId>,
     peer: SocketAddr,
-    result: TargetResult,
+    result: EndpointResult,
 ) {
     let overload = &mut board.overload;
-    let Some(target) = overload.targets.get_mut(&peer) else {
+    let Some(endpoint) = overload.endpoints.get_mut(&peer) else {
         return;
     };
-    target.outstanding_count = target.outstanding_count.saturating_sub(1);
+    endpoint.outstanding_count = endpoint.outstanding_count.saturating_sub(1);
     match result {
-        TargetResult::Ran(latency) => target.on_answered(latency),
-        TargetResult::Failed => target.on_failed(),
-        TargetResult::Refused | TargetResult::GivenUp => return,
+        EndpointResult::Ran(latency) => endpoint.on_answered(latency),
+        EndpointResult::Failed => endpoint.on_failed(),
+        EndpointResult::Rejected | EndpointResult::Cancelled => return,
     }
     let Some(id) = service else {
         return;
     };
-    if let TargetResult::Ran(latency) = result {
+    if let EndpointResult::Ran(latency) = result {
         overload.services.get_mut(id).observe_latency(latency);
     }
     judge(board, now, id, peer);
@@ -241,10 +245,10 @@
 fn judge(board: &mut Blackboard, now: Duration, id: ServiceId, peer: SocketAddr) {
     let overload = &mut board.overload;
     let service = overload.services.get_mut(id);
-    let Some(target) = overload.targets.get_mut(&peer) else {
+    let Some(endpoint) = overload.endpoints.get_mut(&peer) else {
         return;
     };
-    let is_outlier = target.is_outlier(service.latency_s);
+    let is_outlier = endpoint.is_outlier(service.latency_s);
     service.outliers.retain(|outlier| *outlier != peer);
     service.ejected.retain(|(_, until)| *until > now);
     if !is_outlier {
@@ -260,7 +264,7 @@
     if is_out || service.ejected.len() >= limit_count {
         return;
     }
-    service.ejected.push((peer, target.eject(now)));
+    service.ejected.push((peer, endpoint.eject(now)));
     service.outliers.retain(|outlier| *outlier != peer);
     board.counters.add(crate::Counter::BackendServersEjected);
 }
--- a/crates/kumquatquay-core/src/overload/overload_table.rs
+++ b/crates/kumquatquay-core/src/overload/overload_table.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{
-    LedgerTable, Target,
+    Endpoint, LedgerTable,
     generational_cache::GenerationalCache,
     route::{Route, RouteKey},
     service_table::{ServiceId, ServiceTable},
@@ -21,7 +21,7 @@
     pub(crate) services: ServiceTable,
     pub(crate) routes: GenerationalCache<RouteKey, Route>,
     /// Backend servers that were called, by peer address.
-    pub(crate) targets: HashMap<SocketAddr, Target>,
+    pub(crate) endpoints: HashMap<SocketAddr, Endpoint>,
     /// This node's place among those that forget a level, from 0 to 1.
     pub(crate) jitter: f64,
     /// Seed of route keys.
@@ -36,7 +36,7 @@
             ledgers: LedgerTable::default(),
             services: ServiceTable::default(),
             routes: GenerationalCache::new(ROUTES_LIMIT_COUNT),
-            targets: HashMap::new(),
+            endpoints: HashMap::new(),
             jitter: random.random(),
             route_seed: random.random(),
             last_sweep: Duration::ZERO,
@@ -45,8 +45,8 @@
 
     /// Whether a backend server said in an answer that it is leaving.
     pub(crate) fn is_leaving(&self, peer: SocketAddr, now: Duration) -> bool {
-        let target = self.targets.get(&peer);
-        target.is_some_and(|target| target.is_leaving(now))
+        let endpoint = self.endpoints.get(&peer);
+        endpoint.is_some_and(|endpoint| endpoint.is_leaving(now))
     }
 
     /// Whether a backend server is left out for now.
