--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -1,4 +1,4 @@
-//! Which work runs, which waits and which is refused.
+//! Admission control of the gate: decides which work runs, is queued or is refused.
 
 use std::time::Duration;
 
@@ -12,37 +12,37 @@
     quarantine::{self, Verdict},
 };
 
-/// The least work that may wait.
-const QUEUE_LEAST_COUNT: usize = 8;
+/// Lower bound of the queue limit.
+const MIN_QUEUE_LIMIT_COUNT: usize = 8;
 
-/// The greatest number of work that may wait.
-const QUEUE_GREATEST_COUNT: usize = 256;
+/// Upper bound of the queue limit.
+const MAX_QUEUE_LIMIT_COUNT: usize = 256;
 
-/// Work that waits without order where the gate is switched off.
-const UNCONTROLLED_QUEUE_COUNT: usize = 4_096;
+/// Queue limit if the policy disables the gate; the queue is FIFO then.
+const UNGATED_QUEUE_LIMIT_COUNT: usize = 4_096;
 
-const FULL: (RefusalReason, &str) = (
+const GATE_FULL: (RefusalReason, &str) = (
     RefusalReason::GateFull,
-    "the backend server is full of work at least as important",
+    "the backend server is at capacity with requests that are at least as important",
 );
-const EXPIRED: (RefusalReason, &str) = (
+const DEADLINE_EXCEEDED: (RefusalReason, &str) = (
     RefusalReason::Deadline,
-    "the time allowed would run out before the backend server could answer",
+    "the deadline would pass before the backend server could answer",
 );
 const LEAVING: (RefusalReason, &str) = (
     RefusalReason::Leaving,
-    "the backend server takes no new work",
+    "the backend server is shutting down and accepts no new requests",
 );
-const ABSENT: (RefusalReason, &str) = (
+const NO_BACKEND_SERVER: (RefusalReason, &str) = (
     RefusalReason::NoBackendServer,
-    "no backend server has announced itself on this host",
+    "no backend server is registered on this host",
 );
-const OVER_LIMIT: (RefusalReason, &str) = (
+const CALLER_LIMIT_EXCEEDED: (RefusalReason, &str) = (
     RefusalReason::CallerLimit,
-    "the caller is over the limit of its intent",
+    "the caller exceeds the rate limit that its intent sets",
 );
 
-/// Takes in work that another node, or this one, sent.
+/// Queues or refuses work that arrived from another node or from this one, and runs what has room.
 pub(super) fn on_arrived(
     board: &mut Blackboard,
     now: Moment,
@@ -57,8 +57,8 @@
         deadline: now.monotonic + remaining,
         arrived: now.monotonic,
     };
-    if let Some(why) = reason_to_refuse(board, now.monotonic, &work) {
-        refuse(board, id, &work, why, out);
+    if let Some(reason) = refusal_reason(board, now.monotonic, &work) {
+        refuse(board, id, &work, reason, out);
         return;
     }
     let importance = work.importance();
@@ -74,11 +74,11 @@
         refuse_expired(board, now, out);
     }
     while board.gate.queue.len() > queue_limit_count(board) {
-        refuse_least(board, out);
+        refuse_least_important(board, out);
     }
 }
 
-fn reason_to_refuse(
+fn refusal_reason(
     board: &mut Blackboard,
     now: Duration,
     work: &Work,
@@ -87,18 +87,18 @@
         return Some(LEAVING);
     }
     if board.gate.limit.limit_count() == 0 {
-        return Some(ABSENT);
+        return Some(NO_BACKEND_SERVER);
     }
     if work.is_expired(now) {
-        return Some(EXPIRED);
+        return Some(DEADLINE_EXCEEDED);
     }
-    if is_over_limit(board, now, &work.context) {
-        return Some(OVER_LIMIT);
+    if exceeds_caller_limit(board, now, &work.context) {
+        return Some(CALLER_LIMIT_EXCEEDED);
     }
     None
 }
 
-fn is_over_limit(board: &mut Blackboard, now: Duration, context: &RequestContext) -> bool {
+fn exceeds_caller_limit(board: &mut Blackboard, now: Duration, context: &RequestContext) -> bool {
     if context.caller_limit_per_s == 0 {
         return false;
     }
@@ -112,10 +112,10 @@
 
 pub(super) fn queue_limit_count(board: &Blackboard) -> usize {
     if !board.settings.policy.has_gate {
-        return UNCONTROLLED_QUEUE_COUNT;
+        return UNGATED_QUEUE_LIMIT_COUNT;
     }
     let half = board.gate.limit.limit_count() / 2;
-    half.clamp(QUEUE_LEAST_COUNT, QUEUE_GREATEST_COUNT)
+    half.clamp(MIN_QUEUE_LIMIT_COUNT, MAX_QUEUE_LIMIT_COUNT)
 }
 
 fn running_limit_count(board: &Blackboard) -> usize {
@@ -126,66 +126,67 @@
     }
 }
 
-/// Refuses the least important work that waits; the newest arrival, if it is
-/// that one.
-fn refuse_least(board: &mut Blackboard, out: &mut Vec<Output>) {
+/// Refuses the least important work in the queue, which may be the work that has just arrived.
+fn refuse_least_important(board: &mut Blackboard, out: &mut Vec<Output>) {
     let Some((id, work)) = board.gate.queue.pop_least_important() else {
         return;
     };
     board.gate.level_controller.on_refused(work.importance());
-    refuse(board, id, &work, FULL, out);
+    refuse(board, id, &work, GATE_FULL, out);
 }
 
-/// Refuses work whose time has run out while it waited.
+/// Refuses work whose deadline passed in the queue; does nothing if the policy disables the gate.
 pub(super) fn refuse_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     if !board.settings.policy.has_gate {
         return;
     }
     for (id, work) in board.gate.queue.take_expired(now.monotonic) {
-        refuse_late(board, id, &work, out);
+        refuse_expired_work(board, id, &work, out);
     }
 }
 
-fn refuse_late(board: &mut Blackboard, id: WorkId, work: &Work, out: &mut Vec<Output>) {
+fn refuse_expired_work(board: &mut Blackboard, id: WorkId, work: &Work, out: &mut Vec<Output>) {
     board.counters.add(Counter::WorkExpired);
     board.gate.level_controller.on_refused(work.importance());
-    refuse(board, id, work, EXPIRED, out);
+    refuse(board, id, work, DEADLINE_EXCEEDED, out);
 }
 
-/// Refuses all work that waits, because the backend server is gone.
+/// Refuses all queued work, because the backend server is gone.
 pub(super) fn refuse_all(board: &mut Blackboard, out: &mut Vec<Output>) {
     for (id, work) in board.gate.queue.withdraw_all() {
-        refuse(board, id, &work, ABSENT, out);
+        refuse(board, id, &work, NO_BACKEND_SERVER, out);
     }
 }
 
-/// Hands over the most important work while there is room.
+/// Forwards queued work to the backend server, the most important first, while slots are free.
 pub(super) fn run_waiting(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     while board.gate.running.len() < running_limit_count(board) {
         let Some((id, work)) = board.gate.queue.pop() else {
             return;
         };
-        if board.settings.policy.has_gate && would_be_late(board, now.monotonic, &work) {
-            refuse_late(board, id, &work, out);
+        if board.settings.policy.has_gate && would_miss_deadline(board, now.monotonic, &work) {
+            refuse_expired_work(board, id, &work, out);
             continue;
         }
         match quarantine::admit_work(board, now, id, work.context.fingerprint) {
             Verdict::Refuse(refusal) => {
-                let why = (refusal.reason, refusal.detail.as_str());
-                refuse(board, id, &work, why, out);
+                let reason = (refusal.reason, refusal.detail.as_str());
+                refuse(board, id, &work, reason, out);
             }
             Verdict::Admit | Verdict::Alone => run(board, now, id, work, out),
         }
     }
 }
 
-/// Whether an answer in time is hardly to be expected. Half of the mean time to
-/// run is asked for: some work is quicker than the average, and dropping it for a
-/// wrong guess would be worse than running some in vain.
-fn would_be_late(board: &Blackboard, now: Duration, work: &Work) -> bool {
-    let least_s = board.gate.limit.mean_run_time_s() / 2.0;
+/// Whether the time left is less than half of the mean run time, so that an answer before the
+/// deadline is unlikely.
+///
+/// The bound is half of the mean because some work runs faster than average, and refusing it by
+/// mistake would be worse than running some work whose answer comes too late.
+fn would_miss_deadline(board: &Blackboard, now: Duration, work: &Work) -> bool {
+    let min_time_left_s = board.gate.limit.mean_run_time_s() / 2.0;
     let left = work.deadline.saturating_sub(now);
-    left.is_zero() || left.as_secs_f64() < least_s
+    left.is_zero() || left.as_secs_f64() < min_time_left_s
 }
 
 fn run(board: &mut Blackboard, now: Moment, id: WorkId, work: Work, out: &mut Vec<Output>) {
--- a/crates/kumquatquay-core/src/gate/answer.rs
+++ b/crates/kumquatquay-core/src/gate/answer.rs
@@ -1,4 +1,4 @@
-//! What the gate says of its work to the node that sent it.
+//! Refusals and answer contexts that the gate sends to the node that sent the work.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
     overload::{self, Ledger},
 };
 
-/// Levels that one answer carries.
-const LEVELS_LIMIT_COUNT: usize = 24;
+/// Maximum number of levels in one answer.
+const MAX_LEVELS_COUNT: usize = 24;
 
-/// Refuses work that was never handed over.
+/// Refuses work that was not forwarded to the backend server.
 pub(super) fn refuse(
     board: &mut Blackboard,
     id: WorkId,
@@ -41,7 +41,8 @@
     });
 }
 
-/// The answer to work that was handed over, with what its ledger gathered.
+/// Creates the answer context of work that was forwarded to the backend server, with the attempts
+/// and service levels that its ledger has collected.
 pub(super) fn answer(
     board: &Blackboard,
     now: Moment,
@@ -55,9 +56,9 @@
         answer.attempts_count = ledger.attempts_count;
         answer
             .levels
-            .extend(touched_levels(board, now.monotonic, ledger));
+            .extend(reached_service_levels(board, now.monotonic, ledger));
     }
-    answer.levels.truncate(LEVELS_LIMIT_COUNT);
+    answer.levels.truncate(MAX_LEVELS_COUNT);
     answer
 }
 
@@ -66,14 +67,14 @@
     has_levels.then(|| overload::own_level(board)).flatten()
 }
 
-fn touched_levels(board: &Blackboard, now: Duration, ledger: &Ledger) -> Vec<ServiceLevel> {
+fn reached_service_levels(board: &Blackboard, now: Duration, ledger: &Ledger) -> Vec<ServiceLevel> {
     if !board.settings.policy.has_levels {
         return Vec::new();
     }
     let reached_services = ledger.reached_services.iter();
     let services = reached_services.map(|id| board.overload.services.get(*id));
-    let is_whole = ledger.wants_services;
-    let levels = services.flat_map(|service| overload::known_levels(service, now, is_whole));
+    let includes_all = ledger.wants_services;
+    let levels = services.flat_map(|service| overload::known_levels(service, now, includes_all));
     levels.collect()
 }
 
--- a/crates/kumquatquay-core/src/gate/concurrency_limit.rs
+++ b/crates/kumquatquay-core/src/gate/concurrency_limit.rs
@@ -1,79 +1,85 @@
-//! How much work the backend server gets at the same time.
+//! Adaptive concurrency limit of the backend server.
 
 use std::time::Duration;
 
-/// How often the limit is raised, and the shortest window.
-const STEP: Duration = Duration::from_millis(250);
+/// Interval between two increases of the limit, and the minimum length of a window.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Answers that a window waits for. Times to run often vary as much as their mean;
-/// with this many the mean is known within 10 %, and a trial that finds nothing
-/// passes for a success about once in a hundred.
-const ANSWERS_WANTED_COUNT: u32 = 100;
+/// Answers at which a window ends.
+///
+/// The standard deviation of run times is often as large as their mean. With 100 answers the mean
+/// is accurate to 10 %, and about one in a hundred trials that gain nothing succeeds by
+/// chance.
+const TARGET_ANSWERS_COUNT: u32 = 100;
 
-/// Answers without which a window is no ground for a trial.
-const ANSWERS_LEAST_COUNT: u32 = 50;
+/// Minimum number of answers for a window to be evaluated; with fewer, a trial is undone.
+const MIN_ANSWERS_COUNT: u32 = 50;
 
-/// The longest that a window waits for answers.
-const WINDOW_GREATEST: Duration = Duration::from_secs(5);
+/// Maximum length of a window, after which it ends even with few answers.
+const MAX_WINDOW: Duration = Duration::from_secs(5);
 
-/// Own latency above this multiple of the best one calls for a trial.
+/// The backend server counts as slow if its latency exceeds the best latency by this factor.
 const SLOW_RATIO: f64 = 1.7;
 
-/// A latency that changes by less than this share from window to window is
-/// steady. Limit by latency is no throughput while queues still grow or drain.
+/// Maximum relative change of latency between two windows at which it counts as steady.
+///
+/// While queues still grow or drain, the limit divided by the latency isn't the throughput.
 const STEADY_RATIO: f64 = 0.15;
 
-/// How fast the best latency is forgotten, a window.
-const BEST_FORGOTTEN_RATIO: f64 = 0.001;
+/// Weight of a window with a higher latency in the best latency.
+const BEST_INCREASE_WEIGHT: f64 = 0.001;
 
-/// How far the best latency follows a better window; a lucky one is no measure.
-const BEST_FOLLOWED_RATIO: f64 = 0.3;
+/// Weight of a window with a lower latency in the best latency; below 1, because a window can be
+/// fast by chance.
+const BEST_DECREASE_WEIGHT: f64 = 0.3;
 
-/// The limit of a trial, as a share of the limit before it.
-const TRIAL_RATIO: f64 = 0.6;
+/// Limit during a trial, as a share of the limit before it.
+const TRIAL_LIMIT_RATIO: f64 = 0.6;
 
-/// Windows after a trial that found nothing; doubled after each further one.
-const TRIAL_PAUSE_LEAST_COUNT: u32 = 8;
+/// Pause after a failed trial, in windows; doubled by each further failure.
+const MIN_TRIAL_PAUSE_COUNT: u32 = 8;
 
-/// The longest pause between trials, in windows.
-const TRIAL_PAUSE_GREATEST_COUNT: u32 = 64;
+/// Maximum pause between trials, in windows.
+const MAX_TRIAL_PAUSE_COUNT: u32 = 64;
 
-/// Work began with much room left if less than this share of the limit was in use.
-const LIGHT_RATIO: f64 = 0.7;
+/// Work counts as started at low load if less than this share of the limit was in use.
+const LOW_LOAD_RATIO: f64 = 0.7;
 
-/// Answers to such work without which nothing follows from them.
-const LIGHT_LEAST_COUNT: f64 = 15.0;
+/// Minimum number of answers to work started at low load for their mean latency to be used.
+const MIN_LOW_LOAD_ANSWERS_COUNT: f64 = 15.0;
 
-/// Answers after which a trial that does nothing for latency is given up.
-const TRIAL_ANSWERS_COUNT: u32 = 20;
+/// Answers after which a trial that does not lower the latency is aborted.
+const FUTILE_TRIAL_ANSWERS_COUNT: u32 = 20;
 
-/// A trial with latency above this share of the latency before does nothing.
-const TRIAL_LATENCY_RATIO: f64 = 0.85;
+/// A trial is futile if the latency stays above this share of the latency before it.
+///
+/// The same bound decides whether latency at low load is as high as at high load.
+const FUTILE_TRIAL_LATENCY_RATIO: f64 = 0.85;
 
-/// A trial that keeps this share of the throughput before it is a success.
-const KEPT_THROUGHPUT_RATIO: f64 = 0.9;
+/// A trial succeeds if it keeps at least this share of the throughput before it.
+const MIN_THROUGHPUT_RATIO: f64 = 0.9;
 
-/// The least limit, as a share of the slots.
-const LEAST_RATIO: f64 = 0.1;
+/// Minimum limit, as a share of the announced slots.
+const MIN_LIMIT_RATIO: f64 = 0.1;
 
-/// How fast the limit recovers, as a share of the slots a step.
+/// Increase of the limit per step, as a share of the announced slots.
 const RECOVERY_RATIO: f64 = 0.1;
 
-/// How fast it is raised beyond a ceiling, as a share of the limit a step.
-const CAREFUL_RATIO: f64 = 0.02;
+/// Increase of the limit per step above a ceiling, as a share of the limit.
+const CEILING_PROBE_RATIO: f64 = 0.02;
 
-/// Steps after which a ceiling is forgotten.
-const CEILING_LAPSE_COUNT: u32 = 40;
+/// Steps after which a ceiling expires.
+const CEILING_EXPIRY_COUNT: u32 = 40;
 
-/// Limit of the work that runs at the same time, at most the announced slots.
+/// Adaptive limit of the work that runs concurrently, at most the announced slots.
 ///
-/// Latency alone can't tell a backend server that has too much at once from one
-/// that has become slow: lowering the limit of the latter only costs
-/// throughput. So when latency is high, a trial lowers the limit for one window
-/// and keeps the lower one only if throughput held. Throughput is taken as limit
-/// by latency (Little's law), which needs far fewer answers for the same
-/// certainty than counting them. A backend server that refuses lowers the limit
-/// at once. Time spent waiting for calls of its own does not count as latency.
+/// High latency alone does not show whether the backend server has too much concurrent work or has
+/// become slow in general; in the second case a lower limit only reduces throughput. Therefore high
+/// latency starts a trial: the limit is lowered for one window, and stays lower only if throughput
+/// is kept. Throughput is computed as limit divided by latency (Little's law), which needs far
+/// fewer answers for the same accuracy than counting them. When the backend server refuses work, the
+/// limit is lowered at once. The time that work waits for its own outgoing calls does not count as
+/// latency.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     slots_count: usize,
@@ -82,19 +88,19 @@
     mean_run_time_s: f64,
     last_latency_s: f64,
     is_slow: bool,
-    /// Latency of work that began with much room left, and with little.
-    light: Latencies,
-    full: Latencies,
+    /// Latencies since the last evaluated window, by the load when the work was started.
+    low_load: Latencies,
+    high_load: Latencies,
     trial: Option<Trial>,
     pause_count: u32,
     next_pause_count: u32,
     ceiling: Option<Ceiling>,
     window: Window,
-    window_began: Duration,
-    raised: Duration,
+    window_started: Duration,
+    last_raise: Duration,
 }
 
-/// Latencies of one window.
+/// Number and sum of observed latencies.
 #[derive(Clone, Copy, Debug, Default)]
 struct Latencies {
     count: f64,
@@ -102,7 +108,7 @@
 }
 
 impl Latencies {
-    fn add(&mut self, latency: Duration) {
+    fn record(&mut self, latency: Duration) {
         self.count += 1.0;
         self.sum_s += latency.as_secs_f64();
     }
@@ -112,7 +118,7 @@
     }
 }
 
-/// A limit beyond which a trial or a refusal found nothing to gain.
+/// Limit above which more concurrency gained nothing, as a trial or a refusal has shown.
 #[derive(Clone, Copy, Debug)]
 struct Ceiling {
     limit: f64,
@@ -121,9 +127,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    /// Work handed over before this waited behind what the limit before the
-    /// trial let in.
-    counts_from: Duration,
+    /// Start of the trial. Work that was started earlier doesn't count: it was delayed by the load
+    /// under the previous limit.
+    started_after: Duration,
     limit_before: f64,
     latency_before_s: f64,
     throughput_before_per_s: f64,
@@ -138,7 +144,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Starts afresh with what the backend server announced.
+    /// Sets the slots that the backend server announced; if they changed, resets the limit to them.
     pub(crate) fn set_slots_count(&mut self, slots_count: usize) {
         if slots_count == self.slots_count {
             return;
@@ -149,7 +155,7 @@
         self.window = Window::default();
     }
 
-    /// The backend server is gone.
+    /// Resets everything, because the backend server is gone.
     pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
@@ -161,78 +167,84 @@
         }
     }
 
-    /// Mean time that work runs, in seconds; 0 before the first answer.
+    /// Moving average of the run time, in seconds; 0 before the first answer.
     pub(crate) fn mean_run_time_s(&self) -> f64 {
         self.mean_run_time_s
     }
 
-    /// Work was answered that was handed over at `started`; `own` is the time to run less the time that it waited
-    /// for calls of its own.
-    pub(crate) fn on_answered(&mut self, started: Duration, run: Duration, own: Duration) {
-        let run_time_s = run.as_secs_f64();
+    /// Records an answer to work that was started at `started`; `own_latency` is its run time less
+    /// the time that it waited for its own outgoing calls.
+    pub(crate) fn on_answered(
+        &mut self,
+        started: Duration,
+        run_time: Duration,
+        own_latency: Duration,
+    ) {
+        let run_time_s = run_time.as_secs_f64();
         if self.mean_run_time_s == 0.0 {
             self.mean_run_time_s = run_time_s;
         }
         self.mean_run_time_s += 0.05 * (run_time_s - self.mean_run_time_s);
-        let counts_from = self.trial.map(|trial| trial.counts_from);
-        if counts_from.is_none_or(|from| started >= from) {
+        let started_after = self.trial.map(|trial| trial.started_after);
+        if started_after.is_none_or(|from| started >= from) {
             self.window.answers_count += 1;
-            self.window.own_latency_s += own.as_secs_f64();
+            self.window.own_latency_s += own_latency.as_secs_f64();
         }
     }
 
-    /// Latency of work that began beside this much other work.
-    pub(crate) fn on_latency(&mut self, beside_count: usize, own: Duration) {
-        let is_light = (beside_count as f64) < LIGHT_RATIO * self.limit;
-        let latencies = if is_light {
-            &mut self.light
+    /// Records the latency of work that was started while this much other work was running.
+    pub(crate) fn on_latency(&mut self, others_at_start_count: usize, own_latency: Duration) {
+        let is_low_load = (others_at_start_count as f64) < LOW_LOAD_RATIO * self.limit;
+        let latencies = if is_low_load {
+            &mut self.low_load
         } else {
-            &mut self.full
+            &mut self.high_load
         };
-        latencies.add(own);
+        latencies.record(own_latency);
     }
 
-    /// Whether latency is as high with much room left: the backend server is slow
-    /// then and not crowded, and a lower limit would only cost throughput.
-    fn is_slow_anyway(&self) -> bool {
-        let is_known = self.light.count >= LIGHT_LEAST_COUNT;
-        is_known && self.light.mean_s() > TRIAL_LATENCY_RATIO * self.full.mean_s()
+    /// Whether latency is about as high at low load. The backend server is then slow in general and
+    /// a lower limit would only reduce throughput.
+    fn is_slow_at_low_load(&self) -> bool {
+        let has_enough_answers = self.low_load.count >= MIN_LOW_LOAD_ANSWERS_COUNT;
+        has_enough_answers
+            && self.low_load.mean_s() > FUTILE_TRIAL_LATENCY_RATIO * self.high_load.mean_s()
     }
 
-    /// Work had to wait.
+    /// Records that work had to wait for a slot.
     pub(crate) fn on_saturated(&mut self) {
         self.window.is_saturated = true;
     }
 
-    /// The backend server refused work for want of room, with this many others
-    /// running.
+    /// Lowers the limit below the present concurrency, because the backend server did not accept work
+    /// while `others_count` others were running.
     pub(crate) fn on_backend_refused(&mut self, others_count: usize) {
         self.window.is_refused = true;
-        self.limit = self.limit.min(others_count as f64).max(self.least());
+        self.limit = self.limit.min(others_count as f64).max(self.min_limit());
         self.set_ceiling();
         self.trial = None;
     }
 
-    /// Raises the limit step by step, and ends the window if it is time.
+    /// Raises the limit if a step is due, and evaluates the window if it is over.
     pub(crate) fn on_tick(&mut self, now: Duration) {
-        if now.saturating_sub(self.raised) >= STEP {
-            self.raised = now;
-            let is_kept = self.trial.is_some() || self.is_slow || self.window.is_refused;
-            if !is_kept {
+        if now.saturating_sub(self.last_raise) >= STEP_INTERVAL {
+            self.last_raise = now;
+            let is_frozen = self.trial.is_some() || self.is_slow || self.window.is_refused;
+            if !is_frozen {
                 self.recover();
             }
         }
-        if self.is_trial_in_vain() {
-            self.give_up_trial();
+        if self.is_trial_futile() {
+            self.abort_trial();
         }
-        let lasted = now.saturating_sub(self.window_began);
-        let is_poor = self.window.answers_count < ANSWERS_WANTED_COUNT;
-        if lasted < STEP || (is_poor && lasted < WINDOW_GREATEST) {
+        let elapsed = now.saturating_sub(self.window_started);
+        let has_few_answers = self.window.answers_count < TARGET_ANSWERS_COUNT;
+        if elapsed < STEP_INTERVAL || (has_few_answers && elapsed < MAX_WINDOW) {
             return;
         }
-        self.window_began = now;
+        self.window_started = now;
         let window = std::mem::take(&mut self.window);
-        if window.answers_count >= ANSWERS_LEAST_COUNT {
+        if window.answers_count >= MIN_ANSWERS_COUNT {
             self.end_window(now, window);
         } else if let Some(trial) = self.trial.take() {
             self.limit = trial.limit_before;
@@ -242,10 +254,10 @@
     fn end_window(&mut self, now: Duration, window: Window) {
         let latency_s = window.own_latency_s / f64::from(window.answers_count);
         let throughput_per_s = self.limit_count() as f64 / latency_s.max(1e-6);
-        self.follow_best(latency_s);
-        let is_slow_anyway = self.is_slow_anyway();
-        self.light = Latencies::default();
-        self.full = Latencies::default();
+        self.update_best_latency(latency_s);
+        let is_slow_at_low_load = self.is_slow_at_low_load();
+        self.low_load = Latencies::default();
+        self.high_load = Latencies::default();
         self.is_slow = latency_s > SLOW_RATIO * self.best_latency_s;
         let change_s = (latency_s - self.last_latency_s).abs();
         let is_steady = change_s < STEADY_RATIO * latency_s;
@@ -261,31 +273,31 @@
             self.pause_count -= 1;
             return;
         }
-        if is_steady && !is_slow_anyway {
-            self.begin_trial(now, throughput_per_s);
+        if is_steady && !is_slow_at_low_load {
+            self.start_trial(now, throughput_per_s);
         }
     }
 
-    fn follow_best(&mut self, latency_s: f64) {
+    fn update_best_latency(&mut self, latency_s: f64) {
         if self.best_latency_s == 0.0 {
             self.best_latency_s = latency_s;
         }
         let is_better = latency_s < self.best_latency_s;
-        let followed_ratio = if is_better {
-            BEST_FOLLOWED_RATIO
+        let weight = if is_better {
+            BEST_DECREASE_WEIGHT
         } else {
-            BEST_FORGOTTEN_RATIO
+            BEST_INCREASE_WEIGHT
         };
-        self.best_latency_s += followed_ratio * (latency_s - self.best_latency_s);
+        self.best_latency_s += weight * (latency_s - self.best_latency_s);
     }
 
-    fn begin_trial(&mut self, now: Duration, throughput_per_s: f64) {
-        let lowered = (self.limit * TRIAL_RATIO).max(self.least());
+    fn start_trial(&mut self, now: Duration, throughput_per_s: f64) {
+        let lowered = (self.limit * TRIAL_LIMIT_RATIO).max(self.min_limit());
         if lowered >= self.limit {
             return;
         }
         self.trial = Some(Trial {
-            counts_from: now,
+            started_after: now,
             limit_before: self.limit,
             latency_before_s: self.last_latency_s,
             throughput_before_per_s: throughput_per_s,
@@ -294,8 +306,8 @@
     }
 
     fn end_trial(&mut self, trial: Trial, throughput_per_s: f64) {
-        let kept_per_s = KEPT_THROUGHPUT_RATIO * trial.throughput_before_per_s;
-        if throughput_per_s < kept_per_s {
+        let min_throughput_per_s = MIN_THROUGHPUT_RATIO * trial.throughput_before_per_s;
+        if throughput_per_s < min_throughput_per_s {
             self.undo_trial(trial);
         } else {
             self.next_pause_count = 0;
@@ -303,19 +315,19 @@
         }
     }
 
-    /// Whether latency stays as high as before. A trial costs throughput if the
-    /// backend server is slow and not crowded, so it ends as soon as that shows.
-    fn is_trial_in_vain(&self) -> bool {
+    /// Whether the trial does not lower the latency. It then only reduces throughput, since the
+    /// backend server is slow in general, and is aborted as soon as this shows.
+    fn is_trial_futile(&self) -> bool {
         let Some(trial) = self.trial else {
             return false;
         };
         let answers_count = self.window.answers_count;
         let latency_s = self.window.own_latency_s / f64::from(answers_count.max(1));
-        let is_high = latency_s > TRIAL_LATENCY_RATIO * trial.latency_before_s;
-        answers_count >= TRIAL_ANSWERS_COUNT && is_high
+        let is_high = latency_s > FUTILE_TRIAL_LATENCY_RATIO * trial.latency_before_s;
+        answers_count >= FUTILE_TRIAL_ANSWERS_COUNT && is_high
     }
 
-    fn give_up_trial(&mut self) {
+    fn abort_trial(&mut self) {
         if let Some(trial) = self.trial.take() {
             self.undo_trial(trial);
             self.window = Window::default();
@@ -324,8 +336,8 @@
 
     fn undo_trial(&mut self, trial: Trial) {
         self.limit = trial.limit_before;
-        self.pause_count = self.next_pause_count.max(TRIAL_PAUSE_LEAST_COUNT);
-        self.next_pause_count = (2 * self.pause_count).min(TRIAL_PAUSE_GREATEST_COUNT);
+        self.pause_count = self.next_pause_count.max(MIN_TRIAL_PAUSE_COUNT);
+        self.next_pause_count = (2 * self.pause_count).min(MAX_TRIAL_PAUSE_COUNT);
     }
 
     fn recover(&mut self) {
@@ -336,11 +348,11 @@
             return;
         };
         ceiling.steps_count += 1;
-        if ceiling.steps_count < CEILING_LAPSE_COUNT {
+        if ceiling.steps_count < CEILING_EXPIRY_COUNT {
             self.ceiling = Some(ceiling);
         }
-        let careful = self.limit * (1.0 + CAREFUL_RATIO);
-        self.limit = raised.min(ceiling.limit.max(careful)).min(slots);
+        let probed_limit = self.limit * (1.0 + CEILING_PROBE_RATIO);
+        self.limit = raised.min(ceiling.limit.max(probed_limit)).min(slots);
     }
 
     fn set_ceiling(&mut self) {
@@ -350,7 +362,7 @@
         });
     }
 
-    fn least(&self) -> f64 {
-        (self.slots_count as f64 * LEAST_RATIO).max(1.0)
+    fn min_limit(&self) -> f64 {
+        (self.slots_count as f64 * MIN_LIMIT_RATIO).max(1.0)
     }
 }
--- a/crates/kumquatquay-core/src/gate/controller.rs
+++ b/crates/kumquatquay-core/src/gate/controller.rs
@@ -1,4 +1,4 @@
-//! The life of work at the gate: arrival, hand-over, answer, end.
+//! Handles the events of work at the gate, from arrival to completion.
 
 use kumquatquay_wire::{AnswerContext, LedgerToken, Outcome};
 
@@ -13,8 +13,8 @@
     quarantine::{self, InFlight},
 };
 
-/// The first status by which a backend server says that it failed.
-const FAILED_STATUS: u16 = 500;
+/// Lowest HTTP status that counts as a failure.
+const MIN_FAILURE_STATUS: u16 = 500;
 
 pub(crate) fn on_input(
     board: &mut Blackboard,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Takes in what the backend server of this host says or does.
+/// Handles announcements, health reports and the death of the backend server of this host.
 pub(crate) fn on_backend(
     board: &mut Blackboard,
     now: Moment,
@@ -112,16 +112,19 @@
     let context = running.work.context.clone();
     let request = in_flight(id, running);
     let started = running.started;
-    let beside_count = running.others_count;
-    let run = now.monotonic - started;
+    let others_at_start_count = running.others_count;
+    let run_time = now.monotonic - started;
     let outcome = outcome_of(result);
     match result {
         WorkResult::Answered { says_not_run, .. } if !says_not_run => {
             let ledger = board.overload.ledgers.get(token);
             let waited = ledger.map(|ledger| ledger.outgoing_call_time.total(now.monotonic));
-            let own = run.saturating_sub(waited.unwrap_or_default());
-            board.gate.limit.on_answered(started, run, own);
-            board.gate.limit.on_latency(beside_count, own);
+            let own_latency = run_time.saturating_sub(waited.unwrap_or_default());
+            board.gate.limit.on_answered(started, run_time, own_latency);
+            board
+                .gate
+                .limit
+                .on_latency(others_at_start_count, own_latency);
             quarantine::on_ran(board, now, id, context.fingerprint);
         }
         WorkResult::Answered { .. } | WorkResult::NotSent => {
@@ -136,8 +139,8 @@
     let ledger = board.overload.ledgers.get(token);
     let mut answer = answer(board, now, &context, outcome, ledger);
     answer.allowance_returned_count = unspent_count.min(context.allowance_count);
-    let has_calls_out = ledger_has_calls_out(board, token);
-    if has_calls_out {
+    let has_outgoing_calls = has_outgoing_calls(board, token);
+    if has_outgoing_calls {
         answer.attempts_count = AnswerContext::ATTEMPTS_UNKNOWN;
     }
     if is_failure(result) {
@@ -149,24 +152,27 @@
     });
 }
 
-fn ledger_has_calls_out(board: &Blackboard, token: LedgerToken) -> bool {
+fn has_outgoing_calls(board: &Blackboard, token: LedgerToken) -> bool {
     let ledger = board.overload.ledgers.get(token);
     ledger.is_some_and(|ledger| !ledger.outgoing_calls.is_empty())
 }
 
-/// Whether the sender may make the call again. Calls that the backend server
-/// makes after such an answer would come on top of those of the next attempt, so
-/// the ledger ends at once.
+/// Whether the result is a failure, which the sender may retry.
+///
+/// The ledger of failed work is removed at once: calls that the backend server still makes for it
+/// would add to those of the retry.
 fn is_failure(result: WorkResult) -> bool {
     match result {
-        WorkResult::Answered { status, .. } => status >= FAILED_STATUS,
+        WorkResult::Answered { status, .. } => status >= MIN_FAILURE_STATUS,
         WorkResult::NotSent | WorkResult::Broken | WorkResult::TimedOut => true,
     }
 }
 
-/// Not run is said only where it is certain: nothing was handed over, or the
-/// backend server says so by its documented statement. A bare 503 may come from
-/// a backend server that ran the request and failed.
+/// Returns the outcome that is certain from the result.
+///
+/// `NotRun` is reported only if nothing was sent to the backend server or its answer says so by the
+/// documented statement. A 503 without that statement may come from a backend server that ran the
+/// request and failed.
 fn outcome_of(result: WorkResult) -> Outcome {
     match result {
         WorkResult::Answered {
@@ -179,12 +185,12 @@
 }
 
 fn on_finished(board: &mut Blackboard, now: Moment, id: WorkId, out: &mut Vec<Output>) {
-    end_work(board, id);
+    remove_work(board, id);
     run_waiting(board, now, out);
 }
 
-/// Forgets work; says which calls were made for it and are still out.
-fn end_work(board: &mut Blackboard, id: WorkId) -> Vec<CallId> {
+/// Removes work and its ledger; returns the calls made for it that are still under way.
+fn remove_work(board: &mut Blackboard, id: WorkId) -> Vec<CallId> {
     let Some(running) = board.gate.running.remove(&id) else {
         return Vec::new();
     };
@@ -193,9 +199,11 @@
     ledger.map_or_else(Vec::new, |ledger| ledger.outgoing_calls)
 }
 
-/// The sender has gone. Work that waits leaves at once. Work that was handed
-/// over is given up only if it is idempotent: a filing that is half done can't
-/// be taken back, so it runs to its end and keeps its place until then.
+/// Handles that the sender has disconnected or has cancelled the work.
+///
+/// Queued work is removed. Running work is cancelled only if it is idempotent: a non-idempotent
+/// operation that is half done can't be undone, so it runs to its end and occupies its slot until
+/// then.
 fn on_cancelled(board: &mut Blackboard, now: Moment, id: WorkId, out: &mut Vec<Output>) {
     if board.gate.queue.remove(id).is_some() {
         board.counters.add(Counter::WorkCancelled);
@@ -209,7 +217,7 @@
     }
     board.counters.add(Counter::WorkCancelled);
     out.push(Output::CancelWork { work: id });
-    let calls = end_work(board, id);
+    let calls = remove_work(board, id);
     call::cancel_for_work(board, now, &calls, out);
     run_waiting(board, now, out);
 }
--- a/crates/kumquatquay-core/src/gate/gate_queue.rs
+++ b/crates/kumquatquay-core/src/gate/gate_queue.rs
@@ -1,4 +1,4 @@
-//! Work that waits at the gate, the most important first.
+//! Priority queue of the gate.
 
 use std::{
     cmp::Reverse,
@@ -11,70 +11,70 @@
 use super::Work;
 use crate::WorkId;
 
-/// Order in the queue: the most important first, then the one that came first.
+/// Position in the queue: by descending importance, then in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GateQueueKey {
     importance: Reverse<Importance>,
-    number: u64,
+    sequence_number: u64,
 }
 
-/// Work that waits at the gate, the most important first.
+/// Priority queue of the work that waits at the gate, the most important first.
 #[derive(Debug, Default)]
 pub(crate) struct GateQueue {
-    waiting: BTreeMap<GateQueueKey, (WorkId, Work)>,
-    places: HashMap<WorkId, GateQueueKey>,
-    last_number: u64,
+    by_key: BTreeMap<GateQueueKey, (WorkId, Work)>,
+    keys: HashMap<WorkId, GateQueueKey>,
+    last_sequence_number: u64,
 }
 
 impl GateQueue {
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.by_key.len()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.by_key.is_empty()
     }
 
-    /// Adds work; `is_ordered` is false where all work ranks the same.
+    /// Adds work. If `is_ordered` is false, importance is ignored and the queue is FIFO.
     pub(crate) fn push(&mut self, id: WorkId, work: Work, is_ordered: bool) {
-        self.last_number += 1;
+        self.last_sequence_number += 1;
         let importance = match is_ordered {
             true => work.importance(),
             false => Importance::LEAST,
         };
-        let place = GateQueueKey {
+        let key = GateQueueKey {
             importance: Reverse(importance),
-            number: self.last_number,
+            sequence_number: self.last_sequence_number,
         };
-        self.places.insert(id, place);
-        self.waiting.insert(place, (id, work));
+        self.keys.insert(id, key);
+        self.by_key.insert(key, (id, work));
     }
 
-    /// Takes out the most important work.
+    /// Removes the most important work, of equals the oldest.
     pub(crate) fn pop(&mut self) -> Option<(WorkId, Work)> {
-        let (_, (id, work)) = self.waiting.pop_first()?;
-        self.places.remove(&id);
+        let (_, (id, work)) = self.by_key.pop_first()?;
+        self.keys.remove(&id);
         Some((id, work))
     }
 
-    /// Takes out the least important work, of several the one that came last.
+    /// Removes the least important work, of equals the newest.
     pub(crate) fn pop_least_important(&mut self) -> Option<(WorkId, Work)> {
-        let (_, (id, work)) = self.waiting.pop_last()?;
-        self.places.remove(&id);
+        let (_, (id, work)) = self.by_key.pop_last()?;
+        self.keys.remove(&id);
         Some((id, work))
     }
 
-    /// Takes out one piece of work.
+    /// Removes the work with the given id, if it is queued.
     pub(crate) fn remove(&mut self, id: WorkId) -> Option<Work> {
-        let place = self.places.remove(&id)?;
-        let (_, work) = self.waiting.remove(&place)?;
+        let key = self.keys.remove(&id)?;
+        let (_, work) = self.by_key.remove(&key)?;
         Some(work)
     }
 
-    /// Takes out all work whose time has run out.
+    /// Removes all work whose deadline has passed.
     pub(crate) fn take_expired(&mut self, now: Duration) -> Vec<(WorkId, Work)> {
         let expired = self
-            .waiting
+            .by_key
             .values()
             .filter(|(_, work)| work.is_expired(now))
             .map(|(id, _)| *id);
@@ -83,9 +83,9 @@
         expired.into_iter().filter_map(take).collect()
     }
 
-    /// Takes out all work.
+    /// Removes all work, the most important first.
     pub(crate) fn withdraw_all(&mut self) -> Vec<(WorkId, Work)> {
-        self.places.clear();
-        std::mem::take(&mut self.waiting).into_values().collect()
+        self.keys.clear();
+        std::mem::take(&mut self.by_key).into_values().collect()
     }
 }
--- a/crates/kumquatquay-core/src/gate/gate_table.rs
+++ b/crates/kumquatquay-core/src/gate/gate_table.rs
@@ -1,4 +1,4 @@
-//! Work that waits and work that runs.
+//! State of the gate.
 
 use std::collections::HashMap;
 
@@ -7,17 +7,17 @@
 use super::{CallerLimits, ConcurrencyLimit, GateQueue, RunningWork};
 use crate::{WorkId, overload::LevelController};
 
-/// Work that waits and work that runs.
+/// State of the gate: queued and running work, and the limits on it.
 #[derive(Debug)]
 pub(crate) struct GateTable {
-    /// Whether the backend server's health endpoint says that it is ill.
+    /// Whether the health endpoint of the backend server reports that it is unhealthy.
     pub(crate) is_reported_ill: bool,
     pub(crate) running: HashMap<WorkId, RunningWork>,
     pub(crate) queue: GateQueue,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) level_controller: LevelController,
     pub(crate) caller_limits: CallerLimits,
-    /// Connections that the backend server accepts.
+    /// Number of connections that the backend server accepts.
     pub(crate) connections_count: usize,
 }
 
--- a/crates/kumquatquay-core/src/gate/mod.rs
+++ b/crates/kumquatquay-core/src/gate/mod.rs
@@ -1,4 +1,4 @@
-//! Work for the backend server of this host.
+//! The gate: admits, queues and limits the work that the backend server of this host runs.
 
 mod admission;
 mod answer;
--- a/crates/kumquatquay-core/src/gate/work.rs
+++ b/crates/kumquatquay-core/src/gate/work.rs
@@ -1,31 +1,31 @@
-//! One piece of work at the gate.
+//! Work items of the gate: requests for the backend server of this host.
 
 use std::time::Duration;
 
 use kumquatquay_wire::{Importance, LedgerToken, RequestContext};
 
-/// One piece of work, waiting or handed over.
+/// A request for the backend server of this host, queued or running.
 #[derive(Debug)]
 pub(crate) struct Work {
-    /// What the sending node said of it.
+    /// Request context that the sending node attached.
     pub(crate) context: RequestContext,
-    /// When its time runs out, on the monotonic clock.
+    /// Deadline, on the monotonic clock.
     pub(crate) deadline: Duration,
-    /// When it arrived.
+    /// Time of arrival, on the monotonic clock.
     pub(crate) arrived: Duration,
 }
 
-/// Work that was handed to the backend server.
+/// Work that was forwarded to the backend server.
 #[derive(Debug)]
 pub(crate) struct RunningWork {
     pub(crate) work: Work,
-    /// The ledger that its calls find.
+    /// Token of the ledger to which the backend server's own calls are booked.
     pub(crate) token: LedgerToken,
-    /// When it was handed over.
+    /// When it was forwarded to the backend server, on the monotonic clock.
     pub(crate) started: Duration,
-    /// Work that ran beside it then.
+    /// Other work that was running at that time.
     pub(crate) others_count: usize,
-    /// Whether the head of its answer was passed on.
+    /// Whether the head of its answer was forwarded to the sender.
     pub(crate) is_answered: bool,
 }
 
--- a/crates/kumquatquay-core/src/overload/controller.rs
+++ b/crates/kumquatquay-core/src/overload/controller.rs
@@ -148,12 +148,12 @@
 pub(crate) fn known_levels(
     service: &Service,
     now: Duration,
-    is_whole: bool,
+    includes_all: bool,
 ) -> impl Iterator<Item = ServiceLevel> + '_ {
     service
         .levels
         .iter()
-        .filter(move |level| is_whole || (!level.admits_all() && !level.is_expired(now)))
+        .filter(move |level| includes_all || (!level.admits_all() && !level.is_expired(now)))
         .map(move |level| ServiceLevel {
             service: service.name.clone(),
             data_centre: level.data_centre.clone(),
