--- a/crates/kumquatquay-core/tests/quota/borrowers.rs
+++ b/crates/kumquatquay-core/tests/quota/borrowers.rs
@@ -1,4 +1,4 @@
-//! Which nodes keep quotas.
+//! Tests of the selection of the nodes to which quotas are lent.
 
 use std::net::SocketAddr;
 
@@ -25,12 +25,12 @@
     }
 }
 
-/// Where a node takes calls.
+/// Address at which a node accepts calls.
 fn peer(number: usize) -> SocketAddr {
     SocketAddr::new(node(number).ip(), 7_002)
 }
 
-/// Nodes of three data centres, by turns.
+/// Nodes that are spread evenly over three data centres.
 fn fleet(nodes_count: usize) -> Vec<MemberRecord> {
     let names = ["hall-a", "hall-b", "hall-c"];
     (0..nodes_count)
@@ -39,26 +39,27 @@
 }
 
 #[test]
-fn each_slice_of_each_half_has_one_keeper_in_one_view() {
+fn each_slice_of_each_half_has_one_borrower_in_one_view() {
     for nodes_count in [1, 2, 6, 78, 300, 5_100] {
         let fleet = fleet(nodes_count);
-        let keepers = Borrowers::from_members("hall-a", fleet.iter());
+        let borrowers = Borrowers::from_members("hall-a", fleet.iter());
         for half in 0..HALVES_COUNT {
             for slice in 0..SLICES_COUNT {
-                let kept = fleet.iter().filter(|member| {
-                    let kept = keepers.borrowed_by(member.control);
-                    kept.has(half, slice)
+                let borrowing = fleet.iter().filter(|member| {
+                    let borrowed = borrowers.borrowed_by(member.control);
+                    borrowed.has(half, slice)
                 });
-                assert_eq!(kept.count(), 1, "{nodes_count} {half} {slice}");
+                assert_eq!(borrowing.count(), 1, "{nodes_count} {half} {slice}");
             }
         }
     }
 }
 
-/// The keeper of the second half has tokens for data centres that need more than they own, so all
-/// must ask the same one; that of the first half is near.
+/// The borrower of the second half has tokens for data centres that need more than their nodes
+/// own, so all data centres must ask the same one. The borrower of the first half is in the data
+/// centre that asks.
 #[test]
-fn the_first_half_is_kept_near_and_the_second_together() {
+fn the_first_half_has_local_borrowers_and_the_second_shared_ones() {
     let fleet = fleet(78);
     let in_a = Borrowers::from_members("hall-a", fleet.iter());
     let in_b = Borrowers::from_members("hall-b", fleet.iter());
@@ -66,20 +67,21 @@
     assert_eq!(in_a.borrower(1, 3), in_b.borrower(1, 3));
 }
 
-/// In a fleet of thousands no node keeps links to all others for its quotas.
+/// In a fleet of thousands of nodes, a borrower shared by all data centres would need links to all
+/// other nodes.
 #[test]
-fn in_a_large_fleet_all_is_kept_near() {
+fn in_a_large_fleet_all_borrowers_are_local() {
     let fleet = fleet(5_100);
     let in_a = Borrowers::from_members("hall-a", fleet.iter());
-    let kept = fleet.iter().filter(|member| {
-        let kept = in_a.borrowed_by(member.control);
-        !kept.is_empty() && member.data_centre != "hall-a"
+    let borrowing = fleet.iter().filter(|member| {
+        let borrowed = in_a.borrowed_by(member.control);
+        !borrowed.is_empty() && member.data_centre != "hall-a"
     });
-    assert_eq!(kept.count(), 0);
+    assert_eq!(borrowing.count(), 0);
 }
 
 #[test]
-fn a_keeper_that_is_gone_is_none() {
+fn a_node_that_is_gone_is_no_borrower() {
     let mut fleet = fleet(6);
     let first = Borrowers::from_members("hall-a", fleet.iter())
         .borrower(0, 0)
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn nodes_that_are_far_are_asked_for_the_second_half_alone() {
+fn nodes_of_other_data_centres_are_asked_for_the_second_half_only() {
     assert_eq!(
         Borrowers::requested_from(SliceSets::ALL, true),
         SliceSets::ALL
@@ -100,14 +102,15 @@
     assert_eq!(far, SliceSets::ALL.of_half(1));
 }
 
-/// A fleet that stays as it is looked at a few times a second; a node that leaves, comes back, or
-/// moves its listener for calls must be seen at the next look all the same.
+/// Borrowers are refreshed a few times a second, and ranks are recomputed only when the members
+/// have changed. If a change were missed, a node that left, came back or moved its listener for
+/// calls would keep its former rank or address.
 #[test]
-fn ranks_follow_each_change_of_the_members_and_nothing_else() {
+fn ranks_are_recomputed_exactly_when_the_members_change() {
     let mut fleet = fleet(300);
-    let mut keepers = Borrowers::default();
-    assert!(keepers.refresh("hall-a", fleet.iter()));
-    assert!(!keepers.refresh("hall-a", fleet.iter()));
+    let mut borrowers = Borrowers::default();
+    assert!(borrowers.refresh("hall-a", fleet.iter()));
+    assert!(!borrowers.refresh("hall-a", fleet.iter()));
     for number in (0..fleet.len()).step_by(23) {
         let changes: [fn(&mut MemberRecord); 4] = [
             |member| member.is_suspect = true,
@@ -117,9 +120,9 @@
         ];
         for change in changes {
             change(&mut fleet[number]);
-            keepers.refresh("hall-a", fleet.iter());
+            borrowers.refresh("hall-a", fleet.iter());
             assert_eq!(
-                keepers,
+                borrowers,
                 Borrowers::from_members("hall-a", fleet.iter()),
                 "{number}"
             );
--- a/crates/kumquatquay-core/tests/quota/lender.rs
+++ b/crates/kumquatquay-core/tests/quota/lender.rs
@@ -1,17 +1,17 @@
-//! What is lent, and to whom.
+//! Tests of the lender of quotas.
 
 use kumquatquay_core::quota::{LOAN_DURATION, Lender};
 use kumquatquay_wire::routed::SliceSets;
 
 use crate::{at_ms, node};
 
-/// A lender that has been there for a while.
+/// A lender of a node that started at time 0.
 fn lender() -> Lender {
     Lender::new(at_ms(0))
 }
 
 #[test]
-fn what_is_lent_to_one_keeper_is_lent_to_no_other() {
+fn a_slice_is_lent_to_one_borrower_at_a_time() {
     let mut lender = lender();
     let now = at_ms(5_000);
     assert_eq!(lender.lend(now, node(1), SliceSets::ALL), SliceSets::ALL);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_loan_goes_on_for_who_has_it_and_ends_for_who_does_not_ask() {
+fn a_loan_ends_unless_its_borrower_renews_it() {
     let mut lender = lender();
     lender.lend(at_ms(5_000), node(1), SliceSets::ALL);
     let renewed = at_ms(5_500);
@@ -34,10 +34,10 @@
     assert_eq!(lender.lend(after, node(2), SliceSets::ALL), SliceSets::ALL);
 }
 
-/// A node is killed and is back at once. What it lent before its end is still used; lent a second
-/// time it would count twice.
+/// A node is killed and restarts at once. What it lent before is still in use; if it lent that
+/// again, the same part of the quota would be used twice.
 #[test]
-fn a_node_that_starts_lends_nothing_for_the_time_of_a_loan() {
+fn a_node_that_starts_lends_nothing_for_the_duration_of_a_loan() {
     let mut lender = lender();
     let before = LOAN_DURATION - at_ms(1);
     assert!(lender.lend(before, node(1), SliceSets::ALL).is_empty());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_not_lent_is_kept() {
+fn unlent_slices_remain_with_the_lender() {
     let mut lender = lender();
     let now = at_ms(5_000);
     let first_half = SliceSets::ALL.of_half(0);
--- a/crates/kumquatquay-core/tests/quota/main.rs
+++ b/crates/kumquatquay-core/tests/quota/main.rs
@@ -1,4 +1,4 @@
-//! Limits that many nodes share.
+//! Tests of the rate limits that all nodes share.
 
 mod borrowers;
 mod lender;
--- a/crates/kumquatquay-core/tests/quota/pool.rs
+++ b/crates/kumquatquay-core/tests/quota/pool.rs
@@ -1,4 +1,4 @@
-//! Tokens of a keeper.
+//! Tests of the token buckets of a borrower.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
     pool.set_loan(now, node(lender), loan);
 }
 
-/// Takes all that there is.
+/// Takes all tokens of a workspace. Returns their number.
 fn take_all(pool: &mut QuotaPool, now: Duration) -> usize {
     (0..10_000)
         .take_while(|_| pool.try_take(now, "north", LIMIT).is_ok())
         .count()
 }
 
-/// Lends from all nodes, again and again, until `until`.
+/// Lends from all nodes, and renews the loans every 200 ms until `until_ms`.
 fn lend_all(pool: &mut QuotaPool, from_ms: u64, until_ms: u64) {
     for ms in (from_ms..=until_ms).step_by(200) {
         for lender in 0..NODES_COUNT {
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn tokens_come_at_the_rate_of_what_is_lent() {
+fn tokens_are_added_in_proportion_to_the_loans() {
     let mut pool = QuotaPool::default();
     for ms in (0..=800).step_by(200) {
         lend(&mut pool, at_ms(ms), 1);
     }
-    // A tenth of 40 a second.
+    // A tenth of 40 tokens a second, over one second.
     assert_eq!(take_all(&mut pool, at_ms(1_000)), 4);
 }
 
@@ -52,27 +52,28 @@
     assert_eq!(take_all(&mut pool, at_ms(30_000)), 60);
 }
 
-/// All processes are killed and start again. A bucket that began full would let a burst in that
-/// was just let in before.
+/// All processes are killed and restart. If a bucket started full, a burst that was admitted just
+/// before the restart would be admitted again.
 #[test]
-fn a_keeper_that_starts_has_no_tokens() {
+fn a_borrower_that_starts_has_no_tokens() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 0);
     assert_eq!(take_all(&mut pool, at_ms(0)), 0);
 }
 
-/// The keeper is cut off: nobody lends any more, and what it holds counts for others now.
+/// The borrower is cut off, so no loan is renewed. Its tokens are now available to the other
+/// borrowers, to which the lenders lend the same part of the quota.
 #[test]
-fn tokens_are_gone_when_the_loans_are_over() {
+fn tokens_are_lost_when_the_loans_end() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 3_000);
     assert_eq!(take_all(&mut pool, at_ms(3_000) + LOAN_DURATION), 0);
 }
 
-/// The answer to a question lay in a link that was cut. The lender has counted the time of the
-/// loan from its answer, and lends again.
+/// The answer to a request for a loan is delayed by a network partition for longer than the loan
+/// lasts. The lender counts the duration from its answer, and lends to others after that.
 #[test]
-fn a_loan_that_comes_late_is_over() {
+fn a_loan_that_arrives_after_its_end_gives_no_tokens() {
     let mut pool = QuotaPool::default();
     let loan = Loan {
         granted: SliceSets::ALL,
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_token_that_is_given_back_is_there_again() {
+fn a_returned_token_is_available_again() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 3_000);
     let now = at_ms(3_000);
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn tokens_given_back_fill_no_bucket_beyond_its_depth() {
+fn returned_tokens_fill_no_bucket_beyond_its_depth() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 30_000);
     let now = at_ms(30_000);
@@ -105,9 +106,9 @@
     assert_eq!(take_all(&mut pool, now), 60);
 }
 
-/// An operator lowers a quota while a bucket is full of the higher one.
+/// An operator lowers a quota while a bucket holds as many tokens as the higher quota allows.
 #[test]
-fn a_quota_that_is_lowered_binds_at_once() {
+fn a_lowered_quota_applies_at_once() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 30_000);
     let mut lower = LIMIT;
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn who_is_refused_hears_when_there_is_a_token_again() {
+fn a_refusal_states_the_time_until_the_next_token() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 3_000);
     let now = at_ms(3_000);
@@ -132,10 +133,10 @@
     assert_eq!(take_all(&mut pool, now + wait + at_ms(1)), 1);
 }
 
-/// A broken node lends as if it were alone, others beside it. The keeper lets in the whole quota
-/// and no more.
+/// Five nodes lend as if each were the only node, as a node does that knows too few others. The
+/// borrower admits the whole quota and no more.
 #[test]
-fn no_loans_add_up_to_more_than_the_quota() {
+fn loans_never_add_up_to_more_than_the_quota() {
     let mut pool = QuotaPool::default();
     for lender in 0..5 {
         let loan = Loan {
@@ -148,9 +149,10 @@
     assert_eq!(take_all(&mut pool, at_ms(500)), 20);
 }
 
-/// Eighty workspaces share a keeper. One that sends without end takes no token of another.
+/// Eighty-one workspaces use the same borrower. One that sends far more than its quota takes no
+/// tokens of the other eighty.
 #[test]
-fn a_hot_workspace_takes_nothing_of_the_others() {
+fn a_busy_workspace_takes_no_tokens_of_others() {
     let mut pool = QuotaPool::default();
     lend_all(&mut pool, 0, 30_000);
     let now = at_ms(30_000);
--- a/crates/kumquatquay-core/tests/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_lives.rs
@@ -1,4 +1,4 @@
-//! Which life of a backend server counts.
+//! Tests of which life of the backend server of a host is current.
 
 use std::time::Duration;
 
@@ -26,9 +26,9 @@
         .map(|current| current.life.instance.as_str())
 }
 
-/// A report of the old life was held up by a cut and arrives after the new life's
-/// first. Believed, it would have every call marked for the old life, and the
-/// backend server would decline them all.
+/// A report of the old life is delayed by a network partition and arrives after the first report of
+/// the new life. If it were applied, every call would be addressed to the old life, and the backend
+/// server would reject them all.
 #[test]
 fn a_late_report_of_an_old_life_changes_nothing() {
     let mut lives = BackendLives::default();
@@ -49,11 +49,11 @@
     assert!(!lives.may_run(at_ms(5_200), Some(&BackendLife::untold("old")), DRAIN));
 }
 
-/// A node that was started again hears the new life first and then a report of the
-/// old one that was held up. It can't tell them apart, until the backend server
-/// declines a call and names itself.
+/// A restarted node receives a report of the new life first, then a delayed one of the old life. It
+/// can't tell which life is the newer one until the backend server rejects a call and states its
+/// own id.
 #[test]
-fn the_backend_servers_own_answer_settles_it() {
+fn an_answer_of_the_backend_server_determines_the_current_life() {
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report("new", 3, LifeState::Serving))
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_leaving_life_takes_calls_for_the_drain_only() {
+fn a_leaving_life_accepts_calls_during_the_drain_only() {
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
@@ -81,17 +81,17 @@
         .on_report(at_ms(1_000), report("a", 2, LifeState::Draining))
         .unwrap();
     assert!(lives.may_run(at_ms(2_900), Some(&BackendLife::untold("a")), DRAIN));
-    // A further report must not begin the time anew.
+    // A further report must not restart the drain.
     lives
         .on_report(at_ms(2_950), report("a", 3, LifeState::Draining))
         .unwrap();
     assert!(!lives.may_run(at_ms(3_000), Some(&BackendLife::untold("a")), DRAIN));
 }
 
-/// A backend server says that it leaves; its last report from before that arrives
-/// late and says that it serves.
+/// A backend server reports that it leaves. A report from before that arrives late and says that it
+/// serves; a later one says so too.
 #[test]
-fn what_leaves_does_not_come_back() {
+fn a_leaving_life_does_not_serve_again() {
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn leaving_without_a_word_before_counts_from_then() {
+fn the_drain_starts_with_the_first_report_of_leaving() {
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_is_dead_comes_back_with_its_next_report() {
+fn a_dead_life_is_current_again_with_its_next_report() {
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
@@ -136,7 +136,7 @@
     assert!(lives.may_run(at_ms(1_600), None, DRAIN));
 }
 
-fn born(instance: &str, born_unix_ms: u64) -> BackendLife {
+fn life_born_at(instance: &str, born_unix_ms: u64) -> BackendLife {
     BackendLife {
         instance: String::from(instance),
         born_unix_ms: Some(born_unix_ms),
@@ -150,12 +150,12 @@
     }
 }
 
-/// A backend server says that it leaves, ends, and starts again under its id. Its
-/// counts start anew, so its reports look late, and the leaving of the life before
-/// would hold for ever: no caller would reach it again.
+/// A backend server reports that it leaves, ends, and restarts with the same id. Its sequence
+/// numbers start from one again. Without the start of the life, its reports would look old, and the
+/// leaving of the previous life would apply to it for ever, so that no call would reach it.
 #[test]
-fn a_restart_under_the_same_id_knows_nothing_of_before() {
-    let (first, second) = (born("a", 1_000), born("a", 9_000));
+fn a_restart_with_the_same_id_is_a_new_life() {
+    let (first, second) = (life_born_at("a", 1_000), life_born_at("a", 9_000));
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report_of(&first, 70, LifeState::Serving))
@@ -170,46 +170,46 @@
     assert!(!lives.may_run(at_ms(9_000), Some(&first), DRAIN));
 }
 
-/// The last report of the life before was held up and arrives after the first one of
-/// the next, with the same id and a higher count; its leaving as well. Neither says
-/// anything of the life that is there.
+/// The last report of the previous life, and its report that it leaves, are delayed and arrive
+/// after the first report of the next life. They have the same id and a higher sequence number, but
+/// say nothing about the current life.
 #[test]
-fn late_words_of_the_life_before_change_nothing() {
-    let (first, second) = (born("a", 1_000), born("a", 9_000));
+fn late_reports_of_the_previous_life_change_nothing() {
+    let (first, second) = (life_born_at("a", 1_000), life_born_at("a", 9_000));
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report_of(&second, 1, LifeState::Serving))
         .unwrap();
-    let late = report_of(&first, 80, LifeState::Draining);
-    assert_eq!(lives.on_report(at_ms(100), late), Ok(false));
+    let late_report = report_of(&first, 80, LifeState::Draining);
+    assert_eq!(lives.on_report(at_ms(100), late_report), Ok(false));
     lives.on_leave(at_ms(200), &first);
     assert_eq!(lives.current().unwrap().state, LifeState::Serving);
     assert!(lives.may_run(at_ms(9_000), Some(&second), DRAIN));
 }
 
-/// The same between lives of different ids, also when the backend server was found
-/// dead in between: the late report would bring back a life that has ended.
+/// A late report of an ended life with another id must not make that life current, not even after
+/// the backend server was found dead.
 #[test]
-fn the_life_that_started_last_counts_in_any_order() {
-    let (first, second) = (born("a", 1_000), born("b", 9_000));
+fn the_life_that_started_last_is_current_in_any_order() {
+    let (first, second) = (life_born_at("a", 1_000), life_born_at("b", 9_000));
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report_of(&second, 1, LifeState::Serving))
         .unwrap();
     lives.on_dead();
-    let late = report_of(&first, 80, LifeState::Serving);
-    assert_eq!(lives.on_report(at_ms(100), late), Ok(false));
+    let late_report = report_of(&first, 80, LifeState::Serving);
+    assert_eq!(lives.on_report(at_ms(100), late_report), Ok(false));
     assert!(lives.current().is_none());
     let next = report_of(&second, 2, LifeState::Serving);
     assert_eq!(lives.on_report(at_ms(200), next), Ok(true));
     assert_eq!(current(&lives), Some("b"));
 }
 
-/// Another writer's entry for this host lacks the start of its life. Taken for a new
-/// life it would displace the one that is there.
+/// Another process writes a report for this host that lacks the start of its life. If it counted
+/// as a new life, it would replace the current one.
 #[test]
-fn a_report_without_its_start_among_those_with_one_is_refused() {
-    let first = born("a", 1_000);
+fn a_report_without_a_start_is_rejected_after_those_with_one() {
+    let first = life_born_at("a", 1_000);
     let mut lives = BackendLives::default();
     lives
         .on_report(at_ms(0), report_of(&first, 1, LifeState::Serving))
@@ -222,12 +222,12 @@
     assert_eq!(current(&lives), Some("a"));
 }
 
-/// The node was started again: it hears first that a life leaves, and then a report
-/// that this life sent before. Believed, calls would go to a backend server that has
-/// its leaving acknowledged.
+/// A restarted node learns first that a life leaves, and then receives a report that this life sent
+/// before. If that report were applied, calls would be sent to a backend server whose leaving has
+/// been acknowledged.
 #[test]
-fn a_leaving_holds_for_a_report_that_arrives_after_it() {
-    let first = born("a", 1_000);
+fn leaving_applies_to_a_report_that_arrives_later() {
+    let first = life_born_at("a", 1_000);
     let mut lives = BackendLives::default();
     assert!(!lives.on_leave(at_ms(0), &first));
     lives
@@ -238,12 +238,13 @@
     assert!(!lives.may_run(at_ms(2_000), Some(&first), DRAIN));
 }
 
-/// Most leavings don't tell the start of their life; it is the last one with the id.
+/// Most backend servers don't state the start of their life when they report that they leave. Such
+/// a report applies to the last life with that id.
 #[test]
-fn a_leaving_without_a_start_is_of_the_last_life() {
-    let second = born("a", 9_000);
+fn leaving_without_a_start_applies_to_the_last_life() {
+    let second = life_born_at("a", 9_000);
     let mut lives = BackendLives::default();
-    for life in [&born("a", 1_000), &second] {
+    for life in [&life_born_at("a", 1_000), &second] {
         lives
             .on_report(at_ms(0), report_of(life, 1, LifeState::Serving))
             .unwrap();
@@ -253,10 +254,10 @@
     assert!(!lives.may_run(at_ms(3_000), Some(&second), DRAIN));
 }
 
-/// The backend server says in an answer that it leaves and goes on to report that it is ready. The
-/// answer holds: after the drain nothing is handed over.
+/// The backend server states in an answer that it leaves, but still reports that it serves. The
+/// answer takes precedence: after the drain, no call is forwarded to it.
 #[test]
-fn a_leaving_told_in_an_answer_outlasts_later_reports() {
+fn leaving_stated_in_an_answer_overrides_later_reports() {
     let mut lives = BackendLives::default();
     let life = BackendLife::untold("a");
     lives
--- a/crates/kumquatquay-core/tests/routed/call_graph.rs
+++ b/crates/kumquatquay-core/tests/routed/call_graph.rs
@@ -1,4 +1,4 @@
-//! What is learnt of the calls that backend servers make.
+//! Tests of the estimates of which routes a backend server calls.
 
 use std::{ops::Range, time::Duration};
 
@@ -7,107 +7,114 @@
 
 use crate::at_ms;
 
-/// One kind of run: its name, how many begin in a second, how long one takes, and
-/// how many calls it makes on the way.
-struct Kind {
+/// Runs of one route.
+struct RouteLoad {
     route: &'static str,
-    per_s: f64,
-    takes_ms: u64,
-    calls: u32,
+    /// Runs that start in a second, on average.
+    runs_per_s: f64,
+    run_time_ms: u64,
+    /// Calls of one run, at equal intervals.
+    calls_count: u32,
 }
 
 enum Event {
-    Began(&'static str),
-    Called,
-    Failed,
-    Ended(&'static str),
+    RunStarted(&'static str),
+    CallStarted,
+    CallFailed,
+    RunEnded(&'static str),
 }
 
-/// Plays runs of all kinds for `seconds` and returns what was learnt.
-fn learn(kinds: &[Kind], seconds: u64, seed: u64) -> CallGraph {
+/// Simulates runs for `seconds` and returns the estimates.
+fn learn(loads: &[RouteLoad], seconds: u64, seed: u64) -> CallGraph {
     let mut graph = CallGraph::default();
-    play(&mut graph, kinds, 0..seconds, 0.0, seed);
+    simulate(&mut graph, loads, 0..seconds, 0.0, seed);
     graph
 }
 
-/// Plays runs of all kinds over some seconds. A run that loses a call, as a share of
-/// the calls are, ends with it.
-fn play(graph: &mut CallGraph, kinds: &[Kind], seconds: Range<u64>, failed_ratio: f64, seed: u64) {
-    let mut events = events(kinds, seconds, failed_ratio, seed);
+/// Simulates runs that start within `seconds`. A share of the calls fails; a run ends with its
+/// first failed call.
+fn simulate(
+    graph: &mut CallGraph,
+    loads: &[RouteLoad],
+    seconds: Range<u64>,
+    failed_ratio: f64,
+    seed: u64,
+) {
+    let mut events = events(loads, seconds, failed_ratio, seed);
     events.sort_by_key(|(at, _)| *at);
     for (at, event) in events {
-        tell(graph, at, event);
+        apply(graph, at, event);
     }
 }
 
-fn tell(graph: &mut CallGraph, at: Duration, event: Event) {
+fn apply(graph: &mut CallGraph, at: Duration, event: Event) {
     match event {
-        Event::Began(route) => graph.run_started(at, route),
-        Event::Called => graph.call_started(at, "lookup"),
-        Event::Failed => graph.call_failed(at, "lookup"),
-        Event::Ended(route) => graph.run_ended(at, route),
+        Event::RunStarted(route) => graph.run_started(at, route),
+        Event::CallStarted => graph.call_started(at, "lookup"),
+        Event::CallFailed => graph.call_failed(at, "lookup"),
+        Event::RunEnded(route) => graph.run_ended(at, route),
     }
 }
 
 fn events(
-    kinds: &[Kind],
+    loads: &[RouteLoad],
     seconds: Range<u64>,
     failed_ratio: f64,
     seed: u64,
 ) -> Vec<(Duration, Event)> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut events = Vec::new();
-    for kind in kinds {
+    for load in loads {
         let mut at_s = seconds.start as f64;
         while at_s < seconds.end as f64 {
             let uniform: f64 = random.random_range(1e-9..1.0);
-            at_s -= uniform.ln() / kind.per_s;
-            let begin = Duration::from_secs_f64(at_s);
-            let takes = at_ms(kind.takes_ms);
-            let mut end = begin + takes;
-            events.push((begin, Event::Began(kind.route)));
-            for call in 1..=kind.calls {
-                let at = begin + takes * call / (kind.calls + 1);
-                events.push((at, Event::Called));
+            at_s -= uniform.ln() / load.runs_per_s;
+            let start = Duration::from_secs_f64(at_s);
+            let run_time = at_ms(load.run_time_ms);
+            let mut end = start + run_time;
+            events.push((start, Event::RunStarted(load.route)));
+            for call in 1..=load.calls_count {
+                let at = start + run_time * call / (load.calls_count + 1);
+                events.push((at, Event::CallStarted));
                 if random.random_bool(failed_ratio) {
-                    events.push((at, Event::Failed));
+                    events.push((at, Event::CallFailed));
                     end = at;
                     break;
                 }
             }
-            events.push((end, Event::Ended(kind.route)));
+            events.push((end, Event::RunEnded(load.route)));
         }
     }
     events
 }
 
 fn calls_of(graph: &CallGraph, route: &str) -> f64 {
-    let rows = graph.edges(route);
-    rows.first().map_or(0.0, |row| row.calls_per_run)
+    let edges = graph.edges(route);
+    edges.first().map_or(0.0, |edge| edge.calls_per_run)
 }
 
-fn permits_and_uploads() -> [Kind; 2] {
+fn permits_and_uploads() -> [RouteLoad; 2] {
     [
-        Kind {
+        RouteLoad {
             route: "permit",
-            per_s: 300.0,
-            takes_ms: 120,
-            calls: 4,
+            runs_per_s: 300.0,
+            run_time_ms: 120,
+            calls_count: 4,
         },
-        Kind {
+        RouteLoad {
             route: "upload",
-            per_s: 12.0,
-            takes_ms: 110,
-            calls: 0,
+            runs_per_s: 12.0,
+            run_time_ms: 110,
+            calls_count: 0,
         },
     ]
 }
 
-/// Uploads run beside permit checks that make four lookups each. Were uploads taken
-/// to make them, they would be refused whenever the lookups' service is short of
-/// room, though they never go there.
+/// Uploads, which make no calls, run concurrently with permit checks that make four lookups each.
+/// If lookups were attributed to uploads, uploads would be refused whenever the service of the
+/// lookups lacks capacity.
 #[test]
-fn who_calls_nothing_is_not_blamed() {
+fn a_route_without_calls_is_not_credited_with_calls() {
     for seed in 0..20 {
         let graph = learn(&permits_and_uploads(), 20, seed);
         let permit = calls_of(&graph, "permit");
@@ -118,166 +125,166 @@
 }
 
 #[test]
-fn a_route_that_is_alone_is_learnt_in_a_second() {
-    let history = [Kind {
+fn a_single_route_is_learnt_in_a_second() {
+    let history = [RouteLoad {
         route: "history",
-        per_s: 60.0,
-        takes_ms: 300,
-        calls: 2,
+        runs_per_s: 60.0,
+        run_time_ms: 300,
+        calls_count: 2,
     }];
     let graph = learn(&history, 1, 1);
-    let calls = calls_of(&graph, "history");
-    assert!((1.2..2.8).contains(&calls), "{calls}");
+    let calls_count = calls_of(&graph, "history");
+    assert!((1.2..2.8).contains(&calls_count), "{calls_count}");
 }
 
 #[test]
-fn two_routes_that_call_are_told_apart() {
-    let kinds = [
-        Kind {
+fn two_routes_that_call_are_distinguished() {
+    let loads = [
+        RouteLoad {
             route: "check",
-            per_s: 150.0,
-            takes_ms: 120,
-            calls: 1,
+            runs_per_s: 150.0,
+            run_time_ms: 120,
+            calls_count: 1,
         },
-        Kind {
+        RouteLoad {
             route: "settle",
-            per_s: 40.0,
-            takes_ms: 250,
-            calls: 2,
+            runs_per_s: 40.0,
+            run_time_ms: 250,
+            calls_count: 2,
         },
     ];
-    let graph = learn(&kinds, 30, 2);
+    let graph = learn(&loads, 30, 2);
     let (check, settle) = (calls_of(&graph, "check"), calls_of(&graph, "settle"));
     assert!((0.8..1.2).contains(&check), "{check}");
     assert!((1.5..2.5).contains(&settle), "{settle}");
 }
 
-/// Few settlements run beside many checks that make the same calls. Were their calls
-/// credited to the checks, settlements would not count at the service behind, and
-/// what is less important would be refused in their place.
+/// Few settlements run concurrently with many checks that call the same route. If their calls were
+/// attributed to the checks, settlements would not count as demand at the called service, and less
+/// important requests would be refused instead.
 #[test]
-fn a_rare_route_that_calls_is_found() {
-    let kinds = [
-        Kind {
+fn a_rare_route_that_calls_is_detected() {
+    let loads = [
+        RouteLoad {
             route: "check",
-            per_s: 150.0,
-            takes_ms: 120,
-            calls: 1,
+            runs_per_s: 150.0,
+            run_time_ms: 120,
+            calls_count: 1,
         },
-        Kind {
+        RouteLoad {
             route: "settle",
-            per_s: 25.0,
-            takes_ms: 300,
-            calls: 2,
+            runs_per_s: 25.0,
+            run_time_ms: 300,
+            calls_count: 2,
         },
     ];
-    let found = (0..20).filter(|seed| {
-        let graph = learn(&kinds, 15, *seed);
+    let detected = (0..20).filter(|seed| {
+        let graph = learn(&loads, 15, *seed);
         (1.0..3.0).contains(&calls_of(&graph, "settle"))
     });
-    let found_count = found.count();
-    assert!(found_count >= 18, "{found_count} of 20");
+    let detected_count = detected.count();
+    assert!(detected_count >= 18, "{detected_count} of 20");
 }
 
-/// The same while the service behind is short: its calls take five times as long, some
-/// seconds more than others, and the runs with them. Uploads go on beside them.
+/// The called service lacks capacity: runs of permit checks take up to five times as long, and how
+/// long they take changes every second. Uploads, which make no calls, are as fast as before.
 #[test]
-fn uploads_are_not_blamed_while_runs_slow_down() {
-    let mut blamed_count = 0;
+fn uploads_are_not_credited_with_calls_while_other_runs_slow_down() {
+    let mut wrong_count = 0;
     for seed in 0..20 {
-        let mut played = events(&permits_and_uploads(), 0..5, 0.0, seed);
+        let mut simulated = events(&permits_and_uploads(), 0..5, 0.0, seed);
         for second in 5..20 {
             let [mut permit, upload] = permits_and_uploads();
-            permit.takes_ms = 200 + (second * 7_919) % 400;
+            permit.run_time_ms = 200 + (second * 7_919) % 400;
             let slowed = events(&[permit, upload], second..second + 1, 0.0, seed + second);
-            played.extend(slowed);
+            simulated.extend(slowed);
         }
-        played.sort_by_key(|(at, _)| *at);
+        simulated.sort_by_key(|(at, _)| *at);
         let mut graph = CallGraph::default();
-        let mut next_look = at_ms(6_000);
-        for (at, event) in played {
-            tell(&mut graph, at, event);
-            if at >= next_look {
-                next_look += at_ms(1_000);
-                blamed_count += u32::from(calls_of(&graph, "upload") > 0.0);
+        let mut next_check = at_ms(6_000);
+        for (at, event) in simulated {
+            apply(&mut graph, at, event);
+            if at >= next_check {
+                next_check += at_ms(1_000);
+                wrong_count += u32::from(calls_of(&graph, "upload") > 0.0);
             }
         }
     }
-    assert!(blamed_count <= 6, "{blamed_count} of 280");
+    assert!(wrong_count <= 6, "{wrong_count} of 280");
 }
 
-/// All is well for twenty seconds. Then the service behind sheds half of its calls for
-/// eight: a run of four calls makes two and is lost. Taken for runs of two calls, twice
-/// as many would be let in as there is room for once the shedding ends.
+/// After twenty seconds without failures, the called service rejects half of its calls for eight
+/// seconds: a run of four calls makes two on average and fails. If the estimate fell to two calls a
+/// run, twice as many requests would be admitted as there is room for once the rejections end.
 #[test]
-fn what_is_known_is_kept_while_calls_fail() {
+fn estimates_are_kept_while_calls_fail() {
     let mut graph = learn(&permits_and_uploads(), 20, 3);
-    play(&mut graph, &permits_and_uploads(), 20..28, 0.5, 4);
+    simulate(&mut graph, &permits_and_uploads(), 20..28, 0.5, 4);
     let permit = calls_of(&graph, "permit");
     assert!((3.5..4.5).contains(&permit), "{permit}");
 }
 
-/// A surge comes with the first requests, and a third of the calls fail from the
-/// start. Without any guess all requests would be let in, and it would never end.
+/// A surge comes with the first requests, and a third of the calls fail from the start. Without a
+/// guess, all requests would be admitted, and the overload would never end.
 #[test]
 fn a_first_guess_is_made_while_calls_fail() {
     let mut graph = CallGraph::default();
-    play(&mut graph, &permits_and_uploads(), 0..6, 0.3, 5);
+    simulate(&mut graph, &permits_and_uploads(), 0..6, 0.3, 5);
     assert!(calls_of(&graph, "permit") > 1.0);
 }
 
-/// The backend server was replaced by a version that makes one call, which fails
-/// often. After a while this is how things are.
+/// The backend server was replaced by a version that makes one call per run, which fails often.
+/// Estimates aren't frozen for good: after a while such failures count as normal.
 #[test]
-fn what_fails_for_long_is_learnt_all_the_same() {
+fn calls_that_fail_for_long_are_learnt() {
     let mut graph = learn(&permits_and_uploads(), 20, 6);
-    let replaced = [Kind {
+    let new_version = [RouteLoad {
         route: "permit",
-        per_s: 300.0,
-        takes_ms: 120,
-        calls: 1,
+        runs_per_s: 300.0,
+        run_time_ms: 120,
+        calls_count: 1,
     }];
-    play(&mut graph, &replaced, 20..90, 0.4, 7);
+    simulate(&mut graph, &new_version, 20..90, 0.4, 7);
     let permit = calls_of(&graph, "permit");
     assert!((0.7..1.3).contains(&permit), "{permit}");
 }
 
-/// A fifth of all calls is lost from the first moment on, and each run that loses one ends
-/// without its others. Runs of five calls make 3.4 then; taken for all that they make, half as many
-/// again are let in as there is room for.
+/// A fifth of all calls fails from the start, and a run ends with its first failed call. Runs of
+/// five calls then make 3.4 on average. If that were the estimate, half as many requests again
+/// would be admitted as there is room for.
 #[test]
-fn runs_that_lose_calls_are_taken_for_whole_ones() {
+fn estimates_are_corrected_for_lost_calls() {
     let mut graph = CallGraph::default();
-    let kinds = [Kind {
+    let loads = [RouteLoad {
         route: "manifest",
-        per_s: 200.0,
-        takes_ms: 120,
-        calls: 5,
+        runs_per_s: 200.0,
+        run_time_ms: 120,
+        calls_count: 5,
     }];
-    play(&mut graph, &kinds, 0..12, 0.2, 7);
+    simulate(&mut graph, &loads, 0..12, 0.2, 7);
     let calls_count = calls_of(&graph, "manifest");
     assert!((4.0..=6.0).contains(&calls_count), "{calls_count}");
 }
 
-/// The first surge at one of many hosts: sixteen runs a second that take more than a second
-/// under it. Waiting for ten of them to end, entries let all in for the time in which most are
-/// lost.
+/// In the first surge, one of many hosts has sixteen runs a second, which take more than a second
+/// each. If the estimate waited for ten of them to end, entries would admit all requests meanwhile,
+/// and most of these would fail.
 #[test]
-fn where_a_route_leads_is_known_within_a_second() {
-    let kinds = [Kind {
+fn the_calls_of_a_route_are_known_within_a_second() {
+    let loads = [RouteLoad {
         route: "history",
-        per_s: 16.0,
-        takes_ms: 1_200,
-        calls: 2,
+        runs_per_s: 16.0,
+        run_time_ms: 1_200,
+        calls_count: 2,
     }];
     let mut known_count = 0;
     for seed in 0..20 {
         let mut graph = CallGraph::default();
-        let mut events = events(&kinds, 0..1, 0.0, seed);
+        let mut events = events(&loads, 0..1, 0.0, seed);
         events.sort_by_key(|(at, _)| *at);
         let first = events.into_iter().take_while(|(at, _)| *at < at_ms(900));
         for (at, event) in first {
-            tell(&mut graph, at, event);
+            apply(&mut graph, at, event);
         }
         known_count += u32::from(calls_of(&graph, "history") > 0.0);
     }
--- a/crates/kumquatquay-core/tests/routed/call_tracer.rs
+++ b/crates/kumquatquay-core/tests/routed/call_tracer.rs
@@ -1,28 +1,28 @@
-//! Which runs made which calls, by the deadlines that they share.
+//! Tests of the attribution of calls to runs by the deadlines that they share.
 
 use kumquatquay_core::routed::{CallEdge, CallTracer};
 
 use crate::at_ms;
 
-/// A run that makes some calls, one after the other, and ends; its deadline is 1 s away.
-fn run(tracer: &mut CallTracer, at: u64, route: &str, calls: &[&str], is_well: bool) {
-    let number = tracer.run_started(route, 0, at_ms(at + 1_000));
+/// Lets a run of 50 ms make calls. Its deadline, and that of its calls, is one second after `at`.
+fn run(tracer: &mut CallTracer, at: u64, route: &str, calls: &[&str], is_successful: bool) {
+    let id = tracer.run_started(route, 0, at_ms(at + 1_000));
     for callee in calls {
         tracer.call_started(callee, at_ms(at + 1_000));
     }
-    tracer.run_ended(at_ms(at + 50), number, is_well);
+    tracer.run_ended(at_ms(at + 50), id, is_successful);
 }
 
-fn calls_count(rows: &[CallEdge], callee: &str) -> f64 {
-    let row = rows.iter().find(|row| row.callee == callee);
-    row.map_or(0.0, |row| row.calls_per_run)
+fn calls_per_run(edges: &[CallEdge], callee: &str) -> f64 {
+    let edge = edges.iter().find(|edge| edge.callee == callee);
+    edge.map_or(0.0, |edge| edge.calls_per_run)
 }
 
-/// Searches make two calls each, uploads run beside them and make none. Seen as sums over
-/// all runs, uploads are credited with some of the calls, and refused for a service that they
-/// never reach.
+/// Searches make two calls each; uploads run concurrently and make none. If only the sums over all
+/// runs were known, some of the calls would be attributed to uploads, and uploads would be refused
+/// because of a service that they never call.
 #[test]
-fn runs_beside_each_other_are_told_apart() {
+fn concurrent_runs_are_distinguished() {
     let mut tracer = CallTracer::default();
     for round in 0..30 {
         let at = round * 20;
@@ -30,16 +30,19 @@
         run(&mut tracer, at, "search", &["lookup", "lookup"], true);
         tracer.run_ended(at_ms(at + 60), upload, true);
     }
-    let rows = tracer.edges(at_ms(700), "search").unwrap();
-    assert!((calls_count(&rows, "lookup") - 2.0).abs() < 0.1, "{rows:?}");
+    let edges = tracer.edges(at_ms(700), "search").unwrap();
+    assert!(
+        (calls_per_run(&edges, "lookup") - 2.0).abs() < 0.1,
+        "{edges:?}"
+    );
     assert_eq!(tracer.edges(at_ms(700), "upload"), Some(Vec::new()));
 }
 
-/// The deepest service turns most calls away. A run that loses its first call ends without
-/// its others. Counted like whole ones, searches would be taken to make one call in place of
-/// five, and five times too many of them be let in.
+/// The called service rejects most calls, and a run ends with its first failed call. If failed runs
+/// were counted, the estimate would fall from five calls a run to one, and five times too many
+/// requests would be admitted.
 #[test]
-fn runs_that_fail_say_nothing_of_what_whole_ones_make() {
+fn failed_runs_are_not_counted() {
     let mut tracer = CallTracer::default();
     for round in 0..40 {
         run(&mut tracer, round * 10, "manifest", &["index"; 5], true);
@@ -47,57 +50,63 @@
     for round in 40..400 {
         run(&mut tracer, round * 10, "manifest", &["index"], false);
     }
-    let rows = tracer.edges(at_ms(4_100), "manifest").unwrap();
-    assert!((calls_count(&rows, "index") - 5.0).abs() < 0.1, "{rows:?}");
+    let edges = tracer.edges(at_ms(4_100), "manifest").unwrap();
+    assert!(
+        (calls_per_run(&edges, "index") - 5.0).abs() < 0.1,
+        "{edges:?}"
+    );
 }
 
-/// Some calls have a shorter time than their run has left. They lie at no deadline, and the
-/// others stand for them.
+/// Some calls have an earlier deadline than their run and match no deadline. The counts of the
+/// others are scaled up for them.
 #[test]
-fn calls_that_are_due_sooner_are_made_up_for() {
+fn calls_with_an_earlier_deadline_are_compensated_for() {
     let mut tracer = CallTracer::default();
     for round in 0..60 {
         let at = round * 10;
-        let number = tracer.run_started("manifest", 0, at_ms(at + 1_000));
+        let id = tracer.run_started("manifest", 0, at_ms(at + 1_000));
         for call in 0..5 {
-            let due = if call < 2 { 700 } else { 1_000 };
-            tracer.call_started("index", at_ms(at + due + 5));
-            tracer.call_started("index", at_ms(at + due));
+            let deadline_ms = if call < 2 { 700 } else { 1_000 };
+            tracer.call_started("index", at_ms(at + deadline_ms + 5));
+            tracer.call_started("index", at_ms(at + deadline_ms));
         }
-        tracer.run_ended(at_ms(at + 3), number, true);
+        tracer.run_ended(at_ms(at + 3), id, true);
     }
     assert!(!tracer.is_traceable("index"));
     for round in 0..200 {
         let at = 2_000 + round * 10;
-        let number = tracer.run_started("manifest", 0, at_ms(at + 1_000));
+        let id = tracer.run_started("manifest", 0, at_ms(at + 1_000));
         for call in 0..5 {
-            let due = if call < 1 { 705 } else { 1_000 };
-            tracer.call_started("index", at_ms(at + due));
+            let deadline_ms = if call < 1 { 705 } else { 1_000 };
+            tracer.call_started("index", at_ms(at + deadline_ms));
         }
-        tracer.run_ended(at_ms(at + 3), number, true);
+        tracer.run_ended(at_ms(at + 3), id, true);
     }
-    let rows = tracer.edges(at_ms(4_100), "manifest").unwrap();
-    assert!((calls_count(&rows, "index") - 5.0).abs() < 0.4, "{rows:?}");
+    let edges = tracer.edges(at_ms(4_100), "manifest").unwrap();
+    assert!(
+        (calls_per_run(&edges, "index") - 5.0).abs() < 0.4,
+        "{edges:?}"
+    );
 }
 
-/// Backend servers that give their calls deadlines of their own: nothing is known, and
-/// nothing is said.
+/// The backend server sets deadlines of its own for its calls, so they don't identify the runs, and
+/// no edge is reported.
 #[test]
-fn deadlines_that_tell_nothing_are_not_believed() {
+fn unrelated_deadlines_are_not_traced() {
     let mut tracer = CallTracer::default();
     for round in 0..60 {
         let at = round * 10;
-        let number = tracer.run_started("search", 0, at_ms(at + 1_000));
+        let id = tracer.run_started("search", 0, at_ms(at + 1_000));
         tracer.call_started("lookup", at_ms(at + 305));
-        tracer.run_ended(at_ms(at + 3), number, true);
+        tracer.run_ended(at_ms(at + 3), id, true);
     }
     assert!(!tracer.is_traceable("lookup"));
     assert_eq!(tracer.edges(at_ms(700), "search"), Some(Vec::new()));
 }
 
-/// A route of which no run has ended well for half a minute may have changed its ways.
+/// A route without a successful run for half a minute may make other calls by now.
 #[test]
-fn what_was_seen_long_ago_is_not_known() {
+fn old_edges_expire() {
     let mut tracer = CallTracer::default();
     for round in 0..40 {
         run(&mut tracer, round * 10, "search", &["lookup"], true);
--- a/crates/kumquatquay-core/tests/routed/era_tracker.rs
+++ b/crates/kumquatquay-core/tests/routed/era_tracker.rs
@@ -1,18 +1,18 @@
-//! Which era of the store counts.
+//! Tests of the tracking of the era of the store.
 
 use kumquatquay_core::routed::{EraChange, EraTracker};
 
 #[test]
-fn a_store_without_eras_never_returns() {
+fn a_store_without_eras_is_never_seen_as_restored() {
     let mut eras = EraTracker::default();
     assert_eq!(eras.observe(None), EraChange::None);
     assert_eq!(eras.observe_from_peer(None), EraChange::None);
     assert_eq!(eras.highest(), None);
 }
 
-/// Answers come out of order, some without an era.
+/// Answers arrive out of order, and some have no era.
 #[test]
-fn only_a_higher_era_is_a_return() {
+fn only_a_higher_era_is_a_restore() {
     let mut eras = EraTracker::default();
     assert_eq!(eras.observe(Some(0)), EraChange::First);
     assert_eq!(
@@ -25,9 +25,9 @@
     assert_eq!(eras.highest(), Some(1));
 }
 
-/// The store tells no era until it comes back for the first time.
+/// The store sends no era until it is restored for the first time.
 #[test]
-fn an_era_behind_answers_without_one_is_a_return() {
+fn a_first_era_after_answers_without_one_is_a_restore() {
     let mut eras = EraTracker::default();
     assert_eq!(eras.observe(None), EraChange::None);
     assert_eq!(
@@ -41,10 +41,10 @@
     );
 }
 
-/// A broken node tells of an era that will never be. Taken for true, it would hide each return
-/// that follows.
+/// A broken node reports an era that the store will never reach. If it were accepted, it would hide
+/// all later restores.
 #[test]
-fn a_node_that_is_far_ahead_is_passed_over() {
+fn an_implausibly_high_era_of_a_node_is_ignored() {
     let mut eras = EraTracker::default();
     eras.observe(Some(3));
     assert_eq!(
--- a/crates/kumquatquay-core/tests/routed/retry_after.rs
+++ b/crates/kumquatquay-core/tests/routed/retry_after.rs
@@ -1,4 +1,4 @@
-//! When refused callers come back.
+//! Tests of the time after which refused callers should retry.
 
 use std::time::Duration;
 
@@ -14,73 +14,74 @@
     room_expected_in: None,
 };
 
-fn drawn(refused: RetryAfter) -> Vec<Duration> {
+fn sample_waits(refused: RetryAfter) -> Vec<Duration> {
     let mut random = StdRng::seed_from_u64(1);
     (0..1_000).map(|_| refused.sample(&mut random)).collect()
 }
 
 #[test]
-fn in_a_shortage_that_has_just_begun_callers_return_in_time_to_be_served() {
-    let drawn = drawn(REFUSED);
+fn at_the_start_of_a_shortage_callers_retry_within_the_target_latency() {
+    let waits = sample_waits(REFUSED);
     assert!(
-        drawn
+        waits
             .iter()
             .all(|wait| *wait >= at_ms(700) && *wait < at_ms(1_400))
     );
 }
 
 #[test]
-fn in_a_long_shortage_they_return_as_late_as_they_wait() {
-    let short_for = Duration::from_secs(20);
-    let drawn = drawn(RetryAfter {
-        shortage_duration: short_for,
+fn in_a_long_shortage_callers_retry_as_late_as_their_time_left_allows() {
+    let long_shortage = Duration::from_secs(20);
+    let waits = sample_waits(RetryAfter {
+        shortage_duration: long_shortage,
         ..REFUSED
     });
-    assert!(drawn.iter().all(|wait| *wait == Duration::from_secs(2)));
+    assert!(waits.iter().all(|wait| *wait == Duration::from_secs(2)));
 }
 
-/// It isn't known how long such a caller waits: told to come back late, it may be gone by then.
+/// It isn't known how long such a caller goes on waiting. If it is told to retry late, it may have
+/// given up by then.
 #[test]
-fn who_said_nothing_of_its_time_is_asked_back_soon() {
-    let short_for = Duration::from_secs(20);
-    let drawn = drawn(RetryAfter {
+fn a_caller_without_a_known_time_left_retries_soon() {
+    let long_shortage = Duration::from_secs(20);
+    let waits = sample_waits(RetryAfter {
         time_left: None,
-        shortage_duration: short_for,
+        shortage_duration: long_shortage,
         ..REFUSED
     });
-    assert!(drawn.iter().all(|wait| *wait < at_ms(1_400)));
+    assert!(waits.iter().all(|wait| *wait < at_ms(1_400)));
 }
 
-/// A surge leaves no room for half of the callers for eight seconds. Each comes back once. Those
-/// who are asked back by how long it has lasted are refused a second time less often.
+/// A surge leaves no room for half of the callers for eight seconds, and each retries once. If the
+/// wait grows with the time for which the shortage has lasted, fewer of them are refused again.
 #[test]
-fn fewer_are_refused_again_in_a_surge_that_lasts() {
+fn fewer_are_refused_again_if_the_wait_grows_with_the_shortage() {
     let surge = Duration::from_secs(8);
     let mut random = StdRng::seed_from_u64(1);
     let mut refused_again = [0, 0];
     for _ in 0..20_000 {
-        let short_for = surge.mul_f64(random.random());
-        for (way, known) in [Duration::ZERO, short_for].into_iter().enumerate() {
+        let shortage_duration = surge.mul_f64(random.random());
+        for (variant, known) in [Duration::ZERO, shortage_duration].into_iter().enumerate() {
             let refused = RetryAfter {
                 shortage_duration: known,
                 ..REFUSED
             };
-            let returns = short_for + refused.sample(&mut random);
-            refused_again[way] += u32::from(returns < surge);
+            let retries_at = shortage_duration + refused.sample(&mut random);
+            refused_again[variant] += u32::from(retries_at < surge);
         }
     }
     assert!(refused_again[1] < refused_again[0], "{refused_again:?}");
 }
 
-/// Told the same moment, they would all come back to the first room that there is.
+/// If all callers were told the same moment, they would all retry as soon as there is any room.
 #[test]
-fn who_is_asked_back_when_there_is_room_is_spread_from_then_on() {
-    let room_in = Some(at_ms(900));
-    let drawn = drawn(RetryAfter {
-        room_expected_in: room_in,
+fn retries_are_spread_from_the_moment_at_which_room_is_expected() {
+    let room_expected_in = Some(at_ms(900));
+    let waits = sample_waits(RetryAfter {
+        room_expected_in,
         ..REFUSED
     });
-    assert!(drawn.iter().all(|wait| *wait >= at_ms(900)));
-    let late = drawn.iter().filter(|wait| **wait >= at_ms(1_400)).count();
+    assert!(waits.iter().all(|wait| *wait >= at_ms(900)));
+    let late = waits.iter().filter(|wait| **wait >= at_ms(1_400)).count();
     assert!((300..700).contains(&late), "{late}");
 }
--- a/crates/kumquatquay-core/tests/routed/route_callers.rs
+++ b/crates/kumquatquay-core/tests/routed/route_callers.rs
@@ -1,4 +1,4 @@
-//! Which routes people use, and which backend servers call.
+//! Tests of the distinction between routes of outside callers and of backend servers.
 
 use kumquatquay_core::routed::RouteCallers;
 
@@ -6,12 +6,12 @@
 
 const SERVICES: [&str; 4] = ["archive", "settlement", "survey", "register"];
 
-fn census(route: &str, callers: &[&str]) -> RouteCallers {
-    let mut census = RouteCallers::default();
+fn called_by(route: &str, callers: &[&str]) -> RouteCallers {
+    let mut route_callers = RouteCallers::default();
     for caller in callers {
-        census.record_call(at_ms(0), route, caller);
+        route_callers.record_call(at_ms(0), route, caller);
     }
-    census
+    route_callers
 }
 
 macro_rules! from_outside {
@@ -19,8 +19,8 @@
         $(
             #[test]
             fn $name() {
-                let census = census("route", &$callers);
-                let found = census.is_from_outside(at_ms(10), "route", $services_count);
+                let route_callers = called_by("route", &$callers);
+                let found = route_callers.is_from_outside(at_ms(10), "route", $services_count);
                 assert_eq!(found, $expected);
             }
         )*
@@ -37,42 +37,42 @@
 }
 
 #[test]
-fn callers_are_forgotten() {
-    let census = census("route", &SERVICES);
-    assert!(!census.is_from_outside(at_ms(25_000), "route", 4));
+fn callers_expire() {
+    let route_callers = called_by("route", &SERVICES);
+    assert!(!route_callers.is_from_outside(at_ms(25_000), "route", 4));
 }
 
-/// The first surge at one of many hosts, which gets a few look-ups a second: most come from
-/// hosts of its own service and of another large one. Until it is known that people use the
-/// route, none is refused for want of room, and nearly all are lost on the way.
+/// One of many hosts gets a few look-ups a second in the first surge, most of them from hosts of
+/// its own service and of another large one. Until the route is known to be one of outside callers,
+/// no request is refused at the entry for lack of capacity, and nearly all of them fail later.
 #[test]
-fn the_first_calls_of_a_route_of_people_show_it() {
-    let mut census = RouteCallers::at("archive");
+fn a_route_of_outside_callers_is_recognized_by_its_first_calls() {
+    let mut route_callers = RouteCallers::at("archive");
     for caller in ["settlement", "archive", "archive", "settlement"] {
-        census.record_call(at_ms(0), "history", caller);
+        route_callers.record_call(at_ms(0), "history", caller);
     }
-    assert!(census.is_from_outside(at_ms(10), "history", 4));
+    assert!(route_callers.is_from_outside(at_ms(10), "history", 4));
 }
 
-/// Backend servers of two other services call it: these calls are parts of whole requests that
-/// were let in.
+/// Backend servers of two other services call the route. Their calls belong to root requests that
+/// have been admitted already.
 #[test]
-fn the_first_calls_of_two_other_services_are_not_of_people() {
-    let mut census = RouteCallers::at("register");
+fn the_first_calls_of_two_other_services_are_not_from_outside() {
+    let mut route_callers = RouteCallers::at("register");
     for caller in ["settlement", "archive", "archive", "settlement"] {
-        census.record_call(at_ms(0), "lookup", caller);
+        route_callers.record_call(at_ms(0), "lookup", caller);
     }
-    assert!(!census.is_from_outside(at_ms(10), "lookup", 4));
+    assert!(!route_callers.is_from_outside(at_ms(10), "lookup", 4));
 }
 
-/// A service calls itself and is called by another one. After some calls more it shows that
-/// nobody else calls: they are not of people.
+/// A service calls itself and is called by another one. After more calls, no third service has
+/// called the route, so it isn't one of outside callers.
 #[test]
-fn a_service_that_calls_itself_is_found_out() {
-    let mut census = RouteCallers::at("archive");
+fn a_service_that_calls_itself_is_recognized() {
+    let mut route_callers = RouteCallers::at("archive");
     for call in 0..100 {
         let caller = if call % 2 == 0 { "archive" } else { "survey" };
-        census.record_call(at_ms(0), "part", caller);
+        route_callers.record_call(at_ms(0), "part", caller);
     }
-    assert!(!census.is_from_outside(at_ms(10), "part", 4));
+    assert!(!route_callers.is_from_outside(at_ms(10), "part", 4));
 }
--- a/crates/kumquatquay-core/tests/routed/route_table.rs
+++ b/crates/kumquatquay-core/tests/routed/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route a call takes.
+//! Tests of the selection of the route of a call.
 
 use std::time::Duration;
 
@@ -66,13 +66,13 @@
 }
 
 finds! {
-    the_longest_prefix_counts: "one.example" "/a/b/c" => Some("/a/b/");
+    the_longest_prefix_is_used: "one.example" "/a/b/c" => Some("/a/b/");
     a_prefix_ends_at_a_slash: "one.example" "/a/bc" => Some("/a/");
-    a_path_may_be_the_prefix: "one.example" "/a/b/" => Some("/a/b/");
-    a_path_without_its_slash_is_shorter: "one.example" "/c" => Some("/");
-    the_root_takes_the_rest: "one.example" "/x/y/z" => Some("/");
-    a_port_is_no_part_of_the_host: "one.example:8080" "/c/1" => Some("/c/");
-    hosts_have_no_case: "ONE.Example" "/c/1" => Some("/c/");
-    hosts_keep_their_routes: "two.example" "/a/b/c" => None;
-    an_unknown_host_has_none: "three.example" "/only/1" => None;
+    a_path_may_equal_the_prefix: "one.example" "/a/b/" => Some("/a/b/");
+    a_path_without_the_final_slash_does_not_match: "one.example" "/c" => Some("/");
+    the_root_matches_all_other_paths: "one.example" "/x/y/z" => Some("/");
+    the_port_is_ignored: "one.example:8080" "/c/1" => Some("/c/");
+    the_case_of_the_host_is_ignored: "ONE.Example" "/c/1" => Some("/c/");
+    routes_of_other_hosts_are_not_used: "two.example" "/a/b/c" => None;
+    an_unknown_host_has_no_routes: "three.example" "/only/1" => None;
 }
--- a/crates/kumquatquay-core/tests/routed/store_readers.rs
+++ b/crates/kumquatquay-core/tests/routed/store_readers.rs
@@ -1,4 +1,4 @@
-//! Which nodes read the store for all.
+//! Tests of the selection of the nodes that read the store on behalf of all.
 
 use std::net::SocketAddr;
 
@@ -38,15 +38,15 @@
 }
 
 #[test]
-fn two_of_each_data_centre_read_at_any_size() {
+fn each_data_centre_has_two_readers_at_any_size() {
     for hosts_count in [3, 19, 200] {
         let members = fleet(hosts_count);
         let readers = readers_of(&members);
         assert_eq!(readers.len(), 10);
         for data_centre in 0..5 {
             let name = format!("hall-{data_centre}");
-            let near = readers.iter().filter(|reader| reader.data_centre == name);
-            assert_eq!(near.count(), 2);
+            let local = readers.iter().filter(|reader| reader.data_centre == name);
+            assert_eq!(local.count(), 2);
         }
         let first = &members[0];
         let known = StoreReaders::select(first.control, &first.data_centre, members.iter());
@@ -55,30 +55,30 @@
 }
 
 #[test]
-fn those_that_are_asked_are_those_that_read() {
+fn the_readers_of_a_data_centre_are_its_nodes_that_read() {
     let members = fleet(19);
-    let near = StoreReaders::in_data_centre("hall-3", members.iter());
+    let local = StoreReaders::in_data_centre("hall-3", members.iter());
     let readers = readers_of(&members).into_iter();
     let readers: Vec<SocketAddr> = readers
         .filter(|reader| reader.data_centre == "hall-3")
         .map(|reader| reader.control)
         .collect();
-    assert_eq!(near.len(), 2);
-    assert!(near.iter().all(|reader| readers.contains(&reader.control)));
+    assert_eq!(local.len(), 2);
+    assert!(local.iter().all(|reader| readers.contains(&reader.control)));
 }
 
-/// Both readers of a data centre are gone, or leave, or are doubted: two others take their
-/// place.
+/// The readers of all data centres are gone, draining or suspected to be dead. Others become
+/// readers in their place.
 #[test]
-fn others_take_the_place_of_readers_that_are_gone() {
+fn unavailable_readers_are_replaced() {
     let mut members = fleet(10);
     let first: Vec<SocketAddr> = readers_of(&members)
         .into_iter()
         .map(|reader| reader.control)
         .collect();
-    for (place, member) in members.iter_mut().enumerate() {
+    for (index, member) in members.iter_mut().enumerate() {
         if first.contains(&member.control) {
-            match place % 3 {
+            match index % 3 {
                 0 => member.state = MemberState::Gone,
                 1 => member.state = MemberState::Draining,
                 _ => member.is_suspect = true,
@@ -91,9 +91,9 @@
     assert_eq!(readers.iter().filter(serving).count(), 10);
 }
 
-/// A node that starts knows nobody and reads for itself.
+/// A node that has just started knows no other node, so it reads for itself.
 #[test]
-fn a_node_that_knows_nobody_reads() {
+fn a_node_that_knows_no_other_node_is_a_reader() {
     let own = member(1, 1, MemberState::Idle);
     let known = StoreReaders::select(own.control, &own.data_centre, [].into_iter());
     assert!(known.is_reader);
