--- a/crates/kumquatquay-core/tests/routed/log_read.rs
+++ b/crates/kumquatquay-core/tests/routed/log_read.rs
@@ -1,36 +1,37 @@
-//! Reads of a topic whose store comes back from copies, in every order of what happens.
+//! Tests of reads of a topic whose store is restored from backups, in all orders of events.
 
 use std::collections::BTreeSet;
 
 use kumquatquay_core::routed::{LogAnswer, LogPage, LogPosition, LogRead, LogStep};
 use kumquatquay_wire::routed::StoreEra;
 
-/// A record; those with even numbers have one key, the others another.
+/// Identifies a record. Records with an even number have one key, the others another.
 type RecordId = u32;
 
-/// Records of the topic at first, and on a page of the history.
+/// Records of the topic at the start, and on a page of the history.
 const FIRST_COUNT: u32 = 3;
 const PAGE_COUNT: usize = 2;
 
 /// What happens to the store.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A record is added.
+    /// A record is appended.
     Append,
-    /// It comes back without so many records.
-    Return(usize),
-    /// What it lost is written again.
+    /// The store is restored from a backup that lacks this many records.
+    Restore(usize),
+    /// The lost records are written again.
     Rewrite,
 }
 
 const EVENTS: [Event; 4] = [
     Event::Append,
-    Event::Return(1),
-    Event::Return(2),
+    Event::Restore(1),
+    Event::Restore(2),
     Event::Rewrite,
 ];
 
-/// What happens to two reads, in turn: each letter has one of them call, or be answered.
+/// Order of the steps of two concurrent reads, `a` and `b`: in each step, a read makes a call or
+/// gets the answer to it.
 const READS: [&[u8; 10]; 4] = [b"aaaaaaaaaa", b"aaaaababab", b"aaaabaabba", b"abababbbaa"];
 
 #[derive(Debug, Default)]
@@ -48,7 +49,7 @@
                 self.records.push(self.next);
                 self.next += 1;
             }
-            Event::Return(count) => {
+            Event::Restore(count) => {
                 let kept_count = self.records.len().saturating_sub(count);
                 self.lost.extend(self.records.split_off(kept_count));
                 self.era += 1;
@@ -87,87 +88,95 @@
     }
 }
 
-/// How a reader is broken; the exploration must notice.
+/// Fault of a reader, which the exploration must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
-    No,
-    /// It goes on where it was, whatever the era.
+enum ReaderFault {
+    None,
+    /// It continues at its position, whatever the era.
     IgnoresEras,
-    /// Pages of two eras count as one whole.
+    /// It combines pages of two eras.
     MixesPages,
-    /// An answer of an era that is over counts for the present one.
-    TakesLateAnswers,
+    /// It attributes an answer of an era that is over to the current one.
+    AcceptsLateAnswers,
 }
 
 #[derive(Debug, Default)]
 struct Reader {
     position: LogPosition,
-    reads: [Option<UnderWay>; 2],
+    reads: [Option<ReadInProgress>; 2],
     seen: BTreeSet<RecordId>,
 }
 
 #[derive(Debug)]
-struct UnderWay {
+struct ReadInProgress {
     read: LogRead,
     pending: Option<(LogAnswer, Vec<RecordId>)>,
-    /// What the store had when the read began, or began anew.
-    at_begin: Option<Vec<RecordId>>,
+    /// Records in the store when the read started, or restarted.
+    at_start: Option<Vec<RecordId>>,
 }
 
 impl Reader {
-    /// Has a read call or be answered; what it missed, if it claims to have all.
-    fn go_on(&mut self, place: usize, store: &Store, broken: Broken) -> Option<Vec<RecordId>> {
+    /// Lets a read make a call, or get its answer. Returns the records that a complete read missed.
+    fn advance(
+        &mut self,
+        read_index: usize,
+        store: &Store,
+        fault: ReaderFault,
+    ) -> Option<Vec<RecordId>> {
         let position = &mut self.position;
-        let under_way = self.reads[place].get_or_insert_with(|| UnderWay {
+        let in_progress = self.reads[read_index].get_or_insert_with(|| ReadInProgress {
             read: position.begin(),
             pending: None,
-            at_begin: None,
+            at_start: None,
         });
-        let step = under_way.read.step();
-        let Some((mut answer, records)) = under_way.pending.take() else {
+        let step = in_progress.read.step();
+        let Some((mut answer, records)) = in_progress.pending.take() else {
             if step == (LogStep::Newest { after: None }) {
-                under_way.at_begin = None;
+                in_progress.at_start = None;
             }
-            let at_begin = &mut under_way.at_begin;
-            at_begin.get_or_insert_with(|| store.records.clone());
-            under_way.pending = Some(store.answer(&step));
+            let at_start = &mut in_progress.at_start;
+            at_start.get_or_insert_with(|| store.records.clone());
+            in_progress.pending = Some(store.answer(&step));
             return None;
         };
         let is_first = step == LogStep::Newest { after: None };
-        let goes_on = matches!(step, LogStep::Records { may_hold: true, .. });
-        match broken {
-            Broken::IgnoresEras => answer.era = None,
-            Broken::MixesPages if !is_first && !goes_on => answer.era = None,
-            Broken::TakesLateAnswers => answer.era = Some(store.era),
-            Broken::No | Broken::MixesPages => {}
+        let is_resumed = matches!(step, LogStep::Records { may_hold: true, .. });
+        match fault {
+            ReaderFault::IgnoresEras => answer.era = None,
+            ReaderFault::MixesPages if !is_first && !is_resumed => answer.era = None,
+            ReaderFault::AcceptsLateAnswers => answer.era = Some(store.era),
+            ReaderFault::None | ReaderFault::MixesPages => {}
         }
         self.seen.extend(records);
-        under_way.read.on_answer(position, answer);
-        let LogStep::Done { is_complete, .. } = under_way.read.step() else {
-            if under_way.read.step() == LogStep::Outdated {
-                self.reads[place] = None;
+        in_progress.read.on_answer(position, answer);
+        let LogStep::Done { is_complete, .. } = in_progress.read.step() else {
+            if in_progress.read.step() == LogStep::Outdated {
+                self.reads[read_index] = None;
             }
             return None;
         };
-        let at_begin = self.reads[place].take().and_then(|read| read.at_begin);
-        let missed = at_begin.unwrap_or_default();
+        let at_start = self.reads[read_index].take().and_then(|read| read.at_start);
+        let missed = at_start.unwrap_or_default();
         let missed = missed.into_iter().filter(|id| !self.seen.contains(id));
         Some(missed.filter(|_| is_complete).collect())
     }
 }
 
-/// Plays events at these moments among the steps of the reads; what was missed.
-fn play(reads: &[u8], events: &[(usize, Event)], broken: Broken) -> Option<String> {
+/// Lets events happen before these steps of the reads. Returns a description of the records that
+/// were missed.
+fn simulate(reads: &[u8], events: &[(usize, Event)], fault: ReaderFault) -> Option<String> {
     let mut store = Store::default();
     (0..FIRST_COUNT).for_each(|_| store.on_event(Event::Append));
     let mut reader = Reader::default();
     let mut events = events.iter().peekable();
-    for (moment, read) in reads.iter().enumerate() {
-        while let Some((_, event)) = events.next_if(|(at, _)| *at <= moment) {
+    for (step, read) in reads.iter().enumerate() {
+        while let Some((_, event)) = events.next_if(|(before, _)| *before <= step) {
             store.on_event(*event);
         }
-        let place = usize::from(*read == b'b');
-        let missed = reader.go_on(place, &store, broken).unwrap_or_default();
+        let read_index = usize::from(*read == b'b');
+        let missed = reader
+            .advance(read_index, &store, fault)
+            .unwrap_or_default();
         if !missed.is_empty() {
             return Some(format!("claims to have all without {missed:?}"));
         }
@@ -175,25 +184,26 @@
     events.for_each(|(_, event)| store.on_event(*event));
     store.on_event(Event::Rewrite);
     for _ in 0..40 {
-        reader.go_on(0, &store, broken);
+        reader.advance(0, &store, fault);
     }
     let missed = store.records.iter().filter(|id| !reader.seen.contains(id));
     let missed: Vec<_> = missed.collect();
     (!missed.is_empty()).then(|| format!("never sees {missed:?}"))
 }
 
-/// Plays all orders of three events, each at any moment; the first in which something is missed.
-fn explore(broken: Broken) -> Option<String> {
+/// Simulates all sequences of three events, each before any step. Returns the first sequence in
+/// which records are missed.
+fn explore(fault: ReaderFault) -> Option<String> {
     for reads in READS {
-        let moments = 0..=reads.len();
-        for first in moments.clone() {
+        let steps = 0..=reads.len();
+        for first in steps.clone() {
             for second in first..=reads.len() {
                 for third in second..=reads.len() {
                     for kinds in 0..EVENTS.len().pow(3) {
                         let kind =
-                            |place: u32| EVENTS[kinds / EVENTS.len().pow(place) % EVENTS.len()];
+                            |index: u32| EVENTS[kinds / EVENTS.len().pow(index) % EVENTS.len()];
                         let events = [(first, kind(0)), (second, kind(1)), (third, kind(2))];
-                        if let Some(missed) = play(reads, &events, broken) {
+                        if let Some(missed) = simulate(reads, &events, fault) {
                             return Some(format!("{events:?}: {missed}"));
                         }
                     }
@@ -205,29 +215,29 @@
 }
 
 #[test]
-fn no_order_of_returns_hides_a_record() {
-    assert_eq!(explore(Broken::No), None);
+fn no_order_of_restores_hides_a_record() {
+    assert_eq!(explore(ReaderFault::None), None);
 }
 
-/// Names each way in which a reader is broken; the exploration finds an order that shows it.
-macro_rules! is_noticed {
-    ($($name:ident: $broken:expr,)*) => {$(
+/// Defines a test for each fault of a reader: the exploration finds an order that shows it.
+macro_rules! is_detected {
+    ($($name:ident: $fault:expr,)*) => {$(
         #[test]
         fn $name() {
-            assert!(explore($broken).is_some());
+            assert!(explore($fault).is_some());
         }
     )*};
 }
 
-is_noticed! {
-    a_reader_that_ignores_eras: Broken::IgnoresEras,
-    a_reader_that_mixes_pages_of_two_eras: Broken::MixesPages,
-    a_reader_that_takes_late_answers: Broken::TakesLateAnswers,
+is_detected! {
+    a_reader_that_ignores_eras: ReaderFault::IgnoresEras,
+    a_reader_that_mixes_pages_of_two_eras: ReaderFault::MixesPages,
+    a_reader_that_accepts_late_answers: ReaderFault::AcceptsLateAnswers,
 }
 
-/// Names what a store answers to a reader that has read up to 120 in era 4, and what the reader
-/// does next.
-macro_rules! goes_on {
+/// Defines a test for each answer of the store to a reader that has read up to offset 120 in era 4,
+/// with the next step of the reader.
+macro_rules! next_step {
     ($($name:ident: ($era:expr, $page:expr) => $step:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -270,23 +280,24 @@
     LogPage::Records { offsets_count, end }
 }
 
-const ANEW: LogStep = LogStep::Newest { after: None };
+const RESTART: LogStep = LogStep::Newest { after: None };
 
-goes_on! {
-    a_record_more: (Some(4), records(1, 121)) => LogStep::Done { era: Some(4), is_complete: true };
-    part_of_what_there_is: (Some(4), records(1, 130)) => LogStep::Done { era: Some(4), is_complete: false };
-    an_offset_that_was_given_out_again: (Some(5), records(1, 121)) => ANEW;
-    an_end_before_what_was_read: (None, records(0, 100)) => ANEW;
-    an_offset_that_the_store_lacks: (Some(5), LogPage::OffsetUnavailable { oldest_offset: Some(0) }) => ANEW;
-    the_same_without_eras: (None, LogPage::OffsetUnavailable { oldest_offset: None }) => ANEW;
+next_step! {
+    one_more_record: (Some(4), records(1, 121)) => LogStep::Done { era: Some(4), is_complete: true };
+    some_of_the_new_records: (Some(4), records(1, 130)) => LogStep::Done { era: Some(4), is_complete: false };
+    an_offset_that_was_assigned_again: (Some(5), records(1, 121)) => RESTART;
+    an_end_before_what_was_read: (None, records(0, 100)) => RESTART;
+    an_offset_that_the_store_lacks: (Some(5), LogPage::OffsetUnavailable { oldest_offset: Some(0) }) => RESTART;
+    the_same_without_eras: (None, LogPage::OffsetUnavailable { oldest_offset: None }) => RESTART;
     a_late_answer: (Some(3), records(1, 121)) => LogStep::Outdated;
-    an_era_that_cannot_be_read: (None, records(1, 121)) =>
+    an_answer_without_a_valid_era: (None, records(1, 121)) =>
         LogStep::Done { era: Some(4), is_complete: true };
 }
 
-/// A store that tells a higher era with each answer would be read anew for ever.
+/// A broken store sends a higher era with each answer. Without a limit on the number of restarts, a
+/// read would never end.
 #[test]
-fn a_store_that_returns_with_each_answer_ends_the_read() {
+fn a_higher_era_with_each_answer_ends_the_read() {
     let mut position = LogPosition::default();
     let mut read = position.begin();
     for era in 0..100 {
