--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -128,9 +128,9 @@
     }
     let service = call.arrived.service.clone();
     let verdict = quarantine::check(board, now, &service, call.fingerprint);
-    let is_alone = verdict == Verdict::Alone;
+    let is_alone = verdict == Verdict::Isolate;
     let proving = is_alone
-        .then(|| quarantine::proving_target(board, &service))
+        .then(|| quarantine::isolation_endpoint(board, &service))
         .flatten();
     if let Some(peer) = proving {
         return overload::endpoint_at(board, &service, peer);
--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -173,7 +173,7 @@
                 let reason = (refusal.reason, refusal.detail.as_str());
                 refuse(board, id, &work, reason, out);
             }
-            Verdict::Admit | Verdict::Alone => run(board, now, id, work, out),
+            Verdict::Admit | Verdict::Isolate => run(board, now, id, work, out),
         }
     }
 }
--- a/crates/kumquatquay-core/src/gate/controller.rs
+++ b/crates/kumquatquay-core/src/gate/controller.rs
@@ -10,7 +10,7 @@
 use crate::{
     BackendInput, Blackboard, CallId, Counter, Moment, Output, WorkId, WorkInput, WorkResult, call,
     overload::GateCapacity,
-    quarantine::{self, InFlight},
+    quarantine::{self, InFlightRequest},
 };
 
 /// Lowest HTTP status that counts as a failure.
@@ -61,8 +61,8 @@
     refuse_all(board, out);
 }
 
-fn in_flight(work: WorkId, running: &RunningWork) -> InFlight {
-    InFlight {
+fn in_flight(work: WorkId, running: &RunningWork) -> InFlightRequest {
+    InFlightRequest {
         work,
         fingerprint: running.work.context.fingerprint,
         started: running.started,
@@ -125,13 +125,13 @@
                 .gate
                 .limit
                 .on_latency(others_at_start_count, own_latency);
-            quarantine::on_ran(board, now, id, context.fingerprint);
+            quarantine::on_work_ran(board, now, id, context.fingerprint);
         }
         WorkResult::Answered { .. } | WorkResult::NotSent => {
             board.gate.limit.on_backend_refused(others_count);
             board.gate.level_controller.on_refused(context.importance());
         }
-        WorkResult::Broken => quarantine::on_broken(board, now, request),
+        WorkResult::Broken => quarantine::on_connection_broken(board, now, request),
         WorkResult::TimedOut => {}
     }
     let ledger = board.overload.ledgers.get_mut(token);
@@ -194,7 +194,7 @@
     let Some(running) = board.gate.running.remove(&id) else {
         return Vec::new();
     };
-    quarantine::on_work_gone(board, id);
+    quarantine::on_work_ended(board, id);
     let ledger = board.overload.ledgers.remove(running.token);
     ledger.map_or_else(Vec::new, |ledger| ledger.outgoing_calls)
 }
--- a/crates/kumquatquay-core/src/membership/tellings.rs
+++ b/crates/kumquatquay-core/src/membership/tellings.rs
@@ -46,7 +46,7 @@
         {
             rumours.push(Rumour::Configuration(version));
         }
-        for record in quarantine::records_to_tell(board, now) {
+        for record in quarantine::records_to_gossip(board, now) {
             if self.is_record_due(now.monotonic, &record) {
                 rumours.push(Rumour::Quarantine(record));
             }
--- a/crates/kumquatquay-core/src/quarantine/broken_calls.rs
+++ b/crates/kumquatquay-core/src/quarantine/broken_calls.rs
@@ -8,14 +8,14 @@
 ///
 /// It covers the time until the news of the backend server's death arrive: its
 /// node has to notice the death first.
-const LIFETIME: Duration = Duration::from_secs(5);
+const RETENTION: Duration = Duration::from_secs(5);
 
 /// Fingerprints that are remembered.
-const LIMIT_COUNT: usize = 1_024;
+const FINGERPRINTS_LIMIT_COUNT: usize = 1_024;
 
 /// How a call broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Break {
+pub(crate) enum ConnectionBreak {
     /// The node answers and its backend server broke the connection.
     Backend,
     /// The connection to the node broke: the host or the network failed.
@@ -25,11 +25,11 @@
 /// Calls of this node that broke after they were handed over.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BrokenCalls {
-    broken: BTreeMap<(ServiceName, Fingerprint), Broken>,
+    broken: BTreeMap<(ServiceName, Fingerprint), BrokenCall>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Broken {
+struct BrokenCall {
     backend_count: u32,
     host_count: u32,
     expires: Duration,
@@ -41,18 +41,18 @@
         now: Duration,
         service: &ServiceName,
         fingerprint: Fingerprint,
-        kind: Break,
+        kind: ConnectionBreak,
     ) {
         let key = (service.clone(), fingerprint);
-        if self.broken.len() >= LIMIT_COUNT && !self.broken.contains_key(&key) {
+        if self.broken.len() >= FINGERPRINTS_LIMIT_COUNT && !self.broken.contains_key(&key) {
             self.broken.pop_first();
         }
         let broken = self.broken.entry(key).or_default();
         match kind {
-            Break::Backend => broken.backend_count += 1,
-            Break::Host => broken.host_count += 1,
+            ConnectionBreak::Backend => broken.backend_count += 1,
+            ConnectionBreak::Host => broken.host_count += 1,
         }
-        broken.expires = now + LIFETIME;
+        broken.expires = now + RETENTION;
     }
 
     /// A call with the fingerprint ran well.
@@ -85,7 +85,7 @@
         broken.is_none_or(|broken| broken.backend_count == 0 && broken.host_count < 2)
     }
 
-    fn get(&self, now: Duration, service: &str, fingerprint: Fingerprint) -> Option<&Broken> {
+    fn get(&self, now: Duration, service: &str, fingerprint: Fingerprint) -> Option<&BrokenCall> {
         if self.broken.is_empty() {
             return None;
         }
--- a/crates/kumquatquay-core/src/quarantine/controller.rs
+++ b/crates/kumquatquay-core/src/quarantine/controller.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    broken_calls::Break,
-    in_flight::{InFlight, by_suspicion},
+    broken_calls::ConnectionBreak,
+    in_flight_request::{InFlightRequest, fingerprints_latest_first},
 };
 use crate::{
     AttemptResult, Blackboard, Counter, Moment, Note, Output, Refusal, RefusalReason, Severity,
@@ -17,16 +17,16 @@
 
 /// Status of a node's answer whose backend server broke the connection; one that
 /// took too long has another status and is no sign of a crash.
-const STATUS_BROKEN: u16 = 502;
+const CONNECTION_BROKEN_STATUS: u16 = 502;
 
 /// How long after its connection broke work counts as in flight at a death.
 ///
 /// The connections of a backend server that dies break before the node sees
 /// that it is gone; without this its requests would look finished.
-const BROKEN_LIFETIME: Duration = Duration::from_secs(3);
+const BROKEN_WORK_RETENTION: Duration = Duration::from_secs(3);
 
 /// Work whose connection broke that is remembered.
-const BROKEN_LIMIT_COUNT: usize = 1_024;
+const BROKEN_WORK_LIMIT_COUNT: usize = 1_024;
 
 /// Suspects that one crash adds; more requests in flight than this say little
 /// about each.
@@ -44,7 +44,7 @@
     Admit,
     /// A suspect: it may run at the proving target only, one at a time, and is
     /// not retried automatically.
-    Alone,
+    Isolate,
     /// It must not run.
     Refuse(Refusal),
 }
@@ -61,7 +61,7 @@
         .broken_calls
         .is_suspect(now.monotonic, service, fingerprint)
     {
-        Verdict::Alone
+        Verdict::Isolate
     } else {
         Verdict::Admit
     };
@@ -70,10 +70,10 @@
     };
     if known.is_quarantined(now.monotonic) {
         let count = known.crashes_count();
-        return Verdict::Refuse(quarantined(count, known.remaining(now.monotonic)));
+        return Verdict::Refuse(quarantine_refusal(count, known.remaining(now.monotonic)));
     }
     if known.is_suspect(now.monotonic) {
-        return Verdict::Alone;
+        return Verdict::Isolate;
     }
     verdict
 }
@@ -93,11 +93,18 @@
 ) {
     let broken = &mut board.quarantine.broken_calls;
     match (result, outcome) {
-        (AttemptResult::Answered(head), Outcome::Unknown) if head.status == STATUS_BROKEN => {
-            broken.add(now.monotonic, service, fingerprint, Break::Backend);
+        (AttemptResult::Answered(head), Outcome::Unknown)
+            if head.status == CONNECTION_BROKEN_STATUS =>
+        {
+            broken.add(
+                now.monotonic,
+                service,
+                fingerprint,
+                ConnectionBreak::Backend,
+            );
         }
         (AttemptResult::Broken, _) => {
-            broken.add(now.monotonic, service, fingerprint, Break::Host);
+            broken.add(now.monotonic, service, fingerprint, ConnectionBreak::Host);
         }
         (AttemptResult::Answered(_), Outcome::Ran) => broken.remove(service, fingerprint),
         _ => {}
@@ -113,14 +120,14 @@
 ) -> bool {
     let table = &board.quarantine;
     let known = table.get(service, fingerprint);
-    let is_open = known.is_some_and(|known| known.is_open(now.monotonic));
-    !is_open
+    let is_active = known.is_some_and(|known| known.is_active(now.monotonic));
+    !is_active
         && table
             .broken_calls
             .allows_retry(now.monotonic, service, fingerprint)
 }
 
-fn quarantined(crashes_count: usize, remaining: Duration) -> Refusal {
+fn quarantine_refusal(crashes_count: usize, remaining: Duration) -> Refusal {
     Refusal {
         reason: RefusalReason::Quarantined,
         outcome: Outcome::NotRun,
@@ -132,7 +139,7 @@
     }
 }
 
-fn not_now(detail: &str) -> Refusal {
+fn temporary_refusal(detail: &str) -> Refusal {
     Refusal {
         reason: RefusalReason::Quarantined,
         outcome: Outcome::NotRun,
@@ -146,7 +153,7 @@
 /// All nodes with the same view of the members pick the same one, so that two
 /// suspects, or one suspect that was sent twice, can't run at the same time at
 /// two backend servers. When it dies the next one takes its place.
-pub(crate) fn proving_target(board: &Blackboard, service: &ServiceName) -> Option<SocketAddr> {
+pub(crate) fn isolation_endpoint(board: &Blackboard, service: &ServiceName) -> Option<SocketAddr> {
     let candidates = board.members.candidates(service).iter();
     let first = candidates.max_by_key(|candidate| {
         let name = format!("{service} {} {}", candidate.control, candidate.incarnation);
@@ -157,17 +164,17 @@
 }
 
 /// What the gate may do with a piece of work that is about to run; a suspect
-/// that is admitted counts as running until [`on_ran`] or [`on_work_gone`].
+/// that is admitted counts as running until [`on_work_ran`] or [`on_work_ended`].
 pub(crate) fn admit_work(
     board: &mut Blackboard,
     now: Moment,
     work: WorkId,
     fingerprint: Fingerprint,
 ) -> Verdict {
-    let verdict = verdict_of_work(board, now, fingerprint);
+    let verdict = check_work(board, now, fingerprint);
     match verdict {
-        Verdict::Alone => {
-            board.quarantine.running.insert(work, fingerprint);
+        Verdict::Isolate => {
+            board.quarantine.running_suspects.insert(work, fingerprint);
         }
         Verdict::Refuse(_) => board.counters.add(Counter::QuarantineRefusals),
         Verdict::Admit => {}
@@ -175,23 +182,25 @@
     verdict
 }
 
-fn verdict_of_work(board: &mut Blackboard, now: Moment, fingerprint: Fingerprint) -> Verdict {
+fn check_work(board: &mut Blackboard, now: Moment, fingerprint: Fingerprint) -> Verdict {
     let Some(service) = own_service(board) else {
         return Verdict::Admit;
     };
     let verdict = check(board, now, &service, fingerprint);
-    if verdict != Verdict::Alone {
+    if verdict != Verdict::Isolate {
         return verdict;
     }
-    if !board.quarantine.running.is_empty() {
-        return Verdict::Refuse(not_now("another suspected request runs; ask again"));
+    if !board.quarantine.running_suspects.is_empty() {
+        return Verdict::Refuse(temporary_refusal(
+            "another suspected request runs; ask again",
+        ));
     }
-    let target = proving_target(board, &service);
+    let target = isolation_endpoint(board, &service);
     if target.is_some_and(|target| target != board.settings.peer) {
         let detail = "suspected of a crash; it may run at another backend server only";
-        return Verdict::Refuse(not_now(detail));
+        return Verdict::Refuse(temporary_refusal(detail));
     }
-    Verdict::Alone
+    Verdict::Isolate
 }
 
 /// Service of this host; remembered when its backend server is gone.
@@ -209,8 +218,13 @@
 /// A suspect that ran well is cleared. A quarantined one is not: the work may
 /// have begun before its fingerprint was quarantined, and another request that
 /// shares the fingerprint would be let loose again.
-pub(crate) fn on_ran(board: &mut Blackboard, now: Moment, work: WorkId, fingerprint: Fingerprint) {
-    board.quarantine.running.remove(&work);
+pub(crate) fn on_work_ran(
+    board: &mut Blackboard,
+    now: Moment,
+    work: WorkId,
+    fingerprint: Fingerprint,
+) {
+    board.quarantine.running_suspects.remove(&work);
     let Some(service) = own_service(board) else {
         return;
     };
@@ -221,68 +235,70 @@
 }
 
 /// Takes in that the connection of work broke while it ran.
-pub(crate) fn on_broken(board: &mut Blackboard, now: Moment, request: InFlight) {
-    if board.quarantine.dead.contains(&request.work) {
+pub(crate) fn on_connection_broken(board: &mut Blackboard, now: Moment, request: InFlightRequest) {
+    if board.quarantine.counted_work.contains(&request.work) {
         return;
     }
-    let broken = &mut board.quarantine.broken;
+    let broken = &mut board.quarantine.broken_work;
     broken.push_back((now.monotonic, request));
-    if broken.len() > BROKEN_LIMIT_COUNT {
+    if broken.len() > BROKEN_WORK_LIMIT_COUNT {
         broken.pop_front();
     }
 }
 
 /// Takes in that the backend server runs a piece of work no longer.
-pub(crate) fn on_work_gone(board: &mut Blackboard, work: WorkId) {
-    board.quarantine.dead.remove(&work);
-    board.quarantine.running.remove(&work);
+pub(crate) fn on_work_ended(board: &mut Blackboard, work: WorkId) {
+    board.quarantine.counted_work.remove(&work);
+    board.quarantine.running_suspects.remove(&work);
 }
 
 /// Takes in that the backend server of this host died with requests in flight.
 pub(crate) fn on_backend_died(
     board: &mut Blackboard,
     now: Moment,
-    in_flight: &[InFlight],
+    in_flight: &[InFlightRequest],
     out: &mut Vec<Output>,
 ) {
     let table = &mut board.quarantine;
-    let is_new = |request: &&InFlight| !table.dead.contains(&request.work);
-    let new: Vec<InFlight> = in_flight.iter().filter(is_new).copied().collect();
+    let is_new = |request: &&InFlightRequest| !table.counted_work.contains(&request.work);
+    let new: Vec<InFlightRequest> = in_flight.iter().filter(is_new).copied().collect();
     if new.is_empty() && !in_flight.is_empty() {
         return;
     }
     board.counters.add(Counter::BackendDeaths);
     let table = &mut board.quarantine;
-    table.dead.extend(new.iter().map(|request| request.work));
-    table.running.clear();
-    let broken = std::mem::take(&mut table.broken);
+    table
+        .counted_work
+        .extend(new.iter().map(|request| request.work));
+    table.running_suspects.clear();
+    let broken = std::mem::take(&mut table.broken_work);
     let recent = broken
         .into_iter()
-        .filter(|(at, _)| now.monotonic <= *at + BROKEN_LIFETIME)
+        .filter(|(at, _)| now.monotonic <= *at + BROKEN_WORK_RETENTION)
         .map(|(_, request)| request);
-    let in_flight: Vec<InFlight> = new.into_iter().chain(recent).collect();
+    let in_flight: Vec<InFlightRequest> = new.into_iter().chain(recent).collect();
     let Some(service) = own_service(board) else {
         return;
     };
     if in_flight.is_empty() {
         return;
     }
-    let crash = next_crash(board, in_flight.len());
-    let mut suspects = by_suspicion(in_flight);
+    let crash = new_crash(board, in_flight.len());
+    let mut suspects = fingerprints_latest_first(in_flight);
     suspects.truncate(SUSPECTS_LIMIT_COUNT);
     for fingerprint in &suspects {
         let known = board.quarantine.get_mut(&service, *fingerprint);
         known.add_crash(now.monotonic, crash);
         if known.is_quarantined(now.monotonic) {
-            note_quarantined(&service, *fingerprint, out);
+            log_quarantined(&service, *fingerprint, out);
         }
     }
     let detail = format!("{} requests were in flight", suspects.len());
     out.push(Output::Note(Note::warn("backend_server_died", detail)));
-    tell_service(board, now, &service, &suspects, out);
+    notify_service(board, now, &service, &suspects, out);
 }
 
-fn next_crash(board: &mut Blackboard, in_flight_count: usize) -> Crash {
+fn new_crash(board: &mut Blackboard, in_flight_count: usize) -> Crash {
     board.quarantine.deaths_count += 1;
     let settings = &board.settings;
     let name = format!(
@@ -298,7 +314,7 @@
     }
 }
 
-fn note_quarantined(service: &str, fingerprint: Fingerprint, out: &mut Vec<Output>) {
+fn log_quarantined(service: &str, fingerprint: Fingerprint, out: &mut Vec<Output>) {
     let detail = format!("requests {fingerprint} to {service} are refused: two crashes");
     out.push(Output::Note(Note::new(
         Severity::Error,
@@ -309,7 +325,7 @@
 
 /// Tells the nodes of the service at once. A caller that resends to another
 /// backend server within a round of gossip would crash it too.
-fn tell_service(
+fn notify_service(
     board: &mut Blackboard,
     now: Moment,
     service: &ServiceName,
@@ -335,11 +351,11 @@
 
 /// Records to tell others, the most important first; the caller decides how
 /// often each is told.
-pub(crate) fn records_to_tell(board: &Blackboard, now: Moment) -> Vec<QuarantineRecord> {
+pub(crate) fn records_to_gossip(board: &Blackboard, now: Moment) -> Vec<QuarantineRecord> {
     let records = board.quarantine.iter();
-    let lasting = records.filter(|known| !known.is_lapsed(now.monotonic));
+    let lasting = records.filter(|known| !known.is_expired(now.monotonic));
     let mut lasting: Vec<_> = lasting.collect();
-    lasting.sort_by_key(|known| Reverse(known.weight()));
+    lasting.sort_by_key(|known| Reverse(known.priority()));
     lasting
         .into_iter()
         .map(|known| known.record(now.monotonic))
@@ -360,13 +376,13 @@
 /// Lists suspects and quarantined requests.
 pub(crate) fn list(board: &Blackboard, now: Moment) -> OperatorReply {
     OperatorReply::Quarantine {
-        records: open_records(board, now),
+        records: active_records(board, now),
     }
 }
 
 /// Records that still count, the most important first.
-pub(crate) fn open_records(board: &Blackboard, now: Moment) -> Vec<QuarantineRecord> {
-    let mut records = records_to_tell(board, now);
+pub(crate) fn active_records(board: &Blackboard, now: Moment) -> Vec<QuarantineRecord> {
+    let mut records = records_to_gossip(board, now);
     records.retain(|record| record.crashes_count() > 0);
     records
 }
@@ -379,7 +395,7 @@
     fingerprint: Fingerprint,
 ) -> OperatorReply {
     let known = board.quarantine.get(service, fingerprint);
-    if !known.is_some_and(|known| known.is_open(now.monotonic)) {
+    if !known.is_some_and(|known| known.is_active(now.monotonic)) {
         return OperatorReply::Refused {
             message: format!("no request {fingerprint} to {service} is suspected or quarantined"),
         };
@@ -395,9 +411,9 @@
 
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, _out: &mut Vec<Output>) {
     own_service(board);
-    if now.monotonic < board.quarantine.swept_at + SWEEP_INTERVAL {
+    if now.monotonic < board.quarantine.last_sweep + SWEEP_INTERVAL {
         return;
     }
-    board.quarantine.swept_at = now.monotonic;
+    board.quarantine.last_sweep = now.monotonic;
     board.quarantine.sweep(now.monotonic);
 }
--- a/crates/kumquatquay-core/src/quarantine/in_flight.rs
+++ b/crates/kumquatquay-core/src/quarantine/in_flight_request.rs
@@ -8,7 +8,7 @@
 
 /// A request that a backend server ran when it died.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightRequest {
     /// The work that it is at this gate.
     pub(crate) work: WorkId,
     /// What identifies it across resends.
@@ -21,7 +21,7 @@
 ///
 /// A request that crashes what runs it mostly does so soon, and not all of them
 /// fit into the first datagrams.
-pub(crate) fn by_suspicion(mut in_flight: Vec<InFlight>) -> Vec<Fingerprint> {
+pub(crate) fn fingerprints_latest_first(mut in_flight: Vec<InFlightRequest>) -> Vec<Fingerprint> {
     in_flight.sort_by_key(|request| (request.fingerprint, request.started));
     in_flight.reverse();
     in_flight.dedup_by_key(|request| request.fingerprint);
--- a/crates/kumquatquay-core/src/quarantine/mod.rs
+++ b/crates/kumquatquay-core/src/quarantine/mod.rs
@@ -3,15 +3,15 @@
 mod broken_calls;
 mod controller;
 mod fingerprint;
-mod in_flight;
+mod in_flight_request;
+mod quarantine_entry;
 mod quarantine_table;
-mod suspicion;
 
 pub(crate) use controller::{
-    Verdict, admit_work, check, list, may_retry, on_attempt_ended, on_backend_died, on_broken,
-    on_ran, on_rumour, on_tick, on_work_gone, open_records, proving_target, records_to_tell,
-    release,
+    Verdict, active_records, admit_work, check, isolation_endpoint, list, may_retry,
+    on_attempt_ended, on_backend_died, on_connection_broken, on_rumour, on_tick, on_work_ended,
+    on_work_ran, records_to_gossip, release,
 };
 pub(crate) use fingerprint::fingerprint_of;
-pub(crate) use in_flight::InFlight;
+pub(crate) use in_flight_request::InFlightRequest;
 pub(crate) use quarantine_table::QuarantineTable;
--- a/crates/kumquatquay-core/src/quarantine/suspicion.rs
+++ b/crates/kumquatquay-core/src/quarantine/quarantine_entry.rs
@@ -5,27 +5,27 @@
 use kumquatquay_wire::{Crash, Fingerprint, QuarantineRecord, ServiceName};
 
 /// How long a suspicion lasts from its newest crash.
-pub(crate) const SUSPICION_LIFETIME: Duration = Duration::from_secs(10 * 60);
+pub(crate) const SUSPICION_DURATION: Duration = Duration::from_secs(10 * 60);
 
 /// How long a quarantine lasts from its newest crash.
-pub(crate) const QUARANTINE_LIFETIME: Duration = Duration::from_secs(60 * 60);
+pub(crate) const QUARANTINE_DURATION: Duration = Duration::from_secs(60 * 60);
 
 /// By how much another node's record must outlast the own to prolong it.
 ///
 /// A record loses the time that a datagram travels. Without this threshold two
 /// nodes would prolong each other's records for ever, a little at each telling.
-const PROLONGED_LEAST: Duration = Duration::from_secs(2);
+const MIN_EXTENSION: Duration = Duration::from_secs(2);
 
 /// What is known against one fingerprint at one service.
 #[derive(Clone, Debug)]
-pub(crate) struct Suspicion {
+pub(crate) struct QuarantineEntry {
     /// The record without the time left.
     record: QuarantineRecord,
     /// When it lapses, on the monotonic clock.
     expires: Duration,
 }
 
-impl Suspicion {
+impl QuarantineEntry {
     pub(crate) fn new(service: ServiceName, fingerprint: Fingerprint) -> Self {
         Self {
             record: QuarantineRecord {
@@ -38,21 +38,21 @@
         }
     }
 
-    pub(crate) fn is_lapsed(&self, now: Duration) -> bool {
+    pub(crate) fn is_expired(&self, now: Duration) -> bool {
         self.expires <= now
     }
 
     pub(crate) fn is_suspect(&self, now: Duration) -> bool {
-        !self.is_lapsed(now) && self.record.is_suspect()
+        !self.is_expired(now) && self.record.is_suspect()
     }
 
     pub(crate) fn is_quarantined(&self, now: Duration) -> bool {
-        !self.is_lapsed(now) && self.record.is_quarantined()
+        !self.is_expired(now) && self.record.is_quarantined()
     }
 
     /// Whether anything still counts against it.
-    pub(crate) fn is_open(&self, now: Duration) -> bool {
-        !self.is_lapsed(now) && self.record.crashes_count() > 0
+    pub(crate) fn is_active(&self, now: Duration) -> bool {
+        !self.is_expired(now) && self.record.crashes_count() > 0
     }
 
     pub(crate) fn crashes_count(&self) -> usize {
@@ -61,7 +61,7 @@
 
     /// The order in which records are told and kept: quarantined ones first,
     /// then by how likely they are to blame.
-    pub(crate) fn weight(&self) -> (bool, u32) {
+    pub(crate) fn priority(&self) -> (bool, u32) {
         (self.record.is_quarantined(), self.record.score_milli())
     }
 
@@ -90,9 +90,9 @@
 
     fn lifetime(&self) -> Duration {
         if self.record.is_quarantined() {
-            QUARANTINE_LIFETIME
+            QUARANTINE_DURATION
         } else {
-            SUSPICION_LIFETIME
+            SUSPICION_DURATION
         }
     }
 
@@ -107,12 +107,12 @@
             self.merge_crash(*crash);
         }
         let remaining = Duration::from_millis(u64::from(other.remaining_ms));
-        let expires = now + remaining.min(QUARANTINE_LIFETIME);
-        if expires > self.expires + PROLONGED_LEAST {
+        let expires = now + remaining.min(QUARANTINE_DURATION);
+        if expires > self.expires + MIN_EXTENSION {
             self.expires = expires;
         }
         if !was_quarantined && self.record.is_quarantined() {
-            self.expires = now + QUARANTINE_LIFETIME;
+            self.expires = now + QUARANTINE_DURATION;
         }
     }
 
--- a/crates/kumquatquay-core/src/state_dump.rs
+++ b/crates/kumquatquay-core/src/state_dump.rs
@@ -184,7 +184,7 @@
             membership: MembershipDump::of(board),
             members: MemberDump::all(board),
             operations: OperationDump::of(board, now),
-            quarantine: quarantine::open_records(board, now),
+            quarantine: quarantine::active_records(board, now),
             configuration: ConfigurationDump::of(board),
             counters: board.counters.clone(),
         }
