--- a/crates/kumquatquay-core/src/call/arrival.rs
+++ b/crates/kumquatquay-core/src/call/arrival.rs
@@ -1,4 +1,4 @@
-//! What a call gets when it arrives: a ledger, an importance, a deadline.
+//! Admission of calls: assigns ledger, importance and deadline, and refuses early.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use super::{
     attempt::{refuse, resume},
     call_table::{Call, RetryCost},
-    ending::refuse_unknown,
+    ending::refuse_unregistered,
     refusals,
 };
 use crate::{
@@ -22,20 +22,22 @@
     quarantine::{self, Verdict},
 };
 
-/// Time for a request whose caller names none.
+/// Time allowed if the caller does not state one.
 const DEFAULT_TIME_ALLOWED: Duration = Duration::from_secs(10);
 
-/// The longest time that a caller can ask for.
-const GREATEST_TIME_ALLOWED: Duration = Duration::from_secs(300);
+/// Maximum time allowed.
+const MAX_TIME_ALLOWED: Duration = Duration::from_secs(300);
 
-/// How long a request id keeps its cohort. Long enough that resends don't draw
-/// a better one, short enough that no caller is refused for hours.
+/// Time for which a trace id keeps its cohort.
+///
+/// It is long enough that resending does not lead to a better cohort, and short enough that no
+/// caller is refused for hours.
 const COHORT_EPOCH_MS: u64 = 10 * 60 * 1_000;
 
-/// Importance of calls that belong to no request under way.
+/// Importance of orphan calls, which belong to no request under way.
 const ORPHAN_IMPORTANCE: Importance = Importance::LEAST;
 
-/// Takes in a call.
+/// Registers a call that has arrived, and refuses it or starts its first attempt.
 pub(super) fn on_arrived(
     board: &mut Blackboard,
     now: Moment,
@@ -45,10 +47,10 @@
     board.counters.add(Counter::CallsArrived);
     let id = arrived.call;
     if board.calls.is_full() || board.overload.ledgers.is_full() {
-        refuse_unknown(board, id, refusals::node_full(), out);
+        refuse_unregistered(board, id, refusals::node_full(), out);
         return;
     }
-    let call = call_of(board, now, arrived);
+    let call = new_call(board, now, arrived);
     if matches!(call.arrived.origin, CallOrigin::Outside { .. }) {
         configuration::observe_call(board, &call.caller, &call.arrived.service);
     }
@@ -58,44 +60,44 @@
         ledger.outgoing_calls.push(id);
     }
     board.calls.calls.insert(id, call);
-    if let Some(refusal) = reason_to_refuse(board, now, id) {
+    if let Some(refusal) = refusal_before_send(board, now, id) {
         refuse(board, now, id, refusal, out);
         return;
     }
     resume(board, now, id, out);
 }
 
-fn call_of(board: &mut Blackboard, now: Moment, arrived: CallArrived) -> Call {
-    let funding = fund(board, now, &arrived);
+fn new_call(board: &mut Blackboard, now: Moment, arrived: CallArrived) -> Call {
+    let inherited = inherit(board, now, &arrived);
     let service = &arrived.service;
-    let policy_of_call = classify(board, &funding.caller, &arrived);
-    let service_id = service_id_of(board, service);
+    let classification = classify(board, &inherited.caller, &arrived);
+    let service_id = service_id(board, service);
     let seed = board.overload.route_seed;
     let route = overload::route_key(seed, service, &arrived.method, &arrived.path);
-    let allowed = arrived.time_allowed.unwrap_or(DEFAULT_TIME_ALLOWED);
-    let own_deadline = now.monotonic + allowed.min(GREATEST_TIME_ALLOWED);
-    let deadline = own_deadline.min(funding.deadline);
+    let time_allowed = arrived.time_allowed.unwrap_or(DEFAULT_TIME_ALLOWED);
+    let call_deadline = now.monotonic + time_allowed.min(MAX_TIME_ALLOWED);
+    let deadline = call_deadline.min(inherited.deadline);
     let fingerprint = match &arrived.origin {
         CallOrigin::Home { context } => context.fingerprint,
-        _ => quarantine::fingerprint_of(&arrived, &funding.caller),
+        _ => quarantine::fingerprint_of(&arrived, &inherited.caller),
     };
     let is_idempotent = match &arrived.origin {
         CallOrigin::Home { context } => context.is_idempotent,
-        _ => policy_of_call.is_idempotent,
+        _ => classification.is_idempotent,
     };
-    let caller_limit = policy_of_call.caller_limit.filter(|_| funding.is_entry);
+    let caller_limit = classification.caller_limit.filter(|_| inherited.is_entry);
     let moment = now.plus(deadline.saturating_sub(now.monotonic));
-    let operation = OperationCall::new(&arrived, funding.caller.clone(), is_idempotent, moment);
+    let operation = OperationCall::new(&arrived, inherited.caller.clone(), is_idempotent, moment);
     Call {
         deadline,
-        ledger: funding.ledger,
-        owns_ledger: funding.owns_ledger,
-        caller: funding.caller,
-        trace: funding.trace,
-        request: funding.request,
-        depth_count: funding.depth_count,
-        is_repeat: funding.is_repeat,
-        importance: funding.importance,
+        ledger: inherited.ledger,
+        owns_ledger: inherited.owns_ledger,
+        caller: inherited.caller,
+        trace: inherited.trace,
+        request: inherited.request,
+        depth_count: inherited.depth_count,
+        is_repeat: inherited.is_repeat,
+        importance: inherited.importance,
         is_idempotent,
         fingerprint,
         caller_limit_per_s: caller_limit.map_or(0, |limit| limit.calls_per_s),
@@ -112,9 +114,11 @@
     }
 }
 
-/// The number of a service that somebody serves. Names that callers make up get
-/// none, so that they don't crowd out services that exist.
-fn service_id_of(board: &mut Blackboard, service: &ServiceName) -> Option<ServiceId> {
+/// Returns the id of a service that is already known or has backend servers.
+///
+/// Other names get no id, so that invented names can't displace existing services in the
+/// bounded service table.
+fn service_id(board: &mut Blackboard, service: &ServiceName) -> Option<ServiceId> {
     let known = board.overload.services.id(service);
     if known.is_some() || board.members.candidates(service).is_empty() {
         return known;
@@ -132,8 +136,8 @@
     )
 }
 
-/// Who pays for a call, and with what.
-struct Funding {
+/// What a call inherits from the ledger to which it is booked.
+struct InheritedContext {
     ledger: LedgerToken,
     owns_ledger: bool,
     is_entry: bool,
@@ -146,46 +150,50 @@
     deadline: Duration,
 }
 
-fn fund(board: &mut Blackboard, now: Moment, arrived: &CallArrived) -> Funding {
+fn inherit(board: &mut Blackboard, now: Moment, arrived: &CallArrived) -> InheritedContext {
     match &arrived.origin {
         CallOrigin::Outside { caller, trace } => {
             let ledger = entry_ledger(board, now, arrived, caller, *trace);
-            own_funding(board, ledger, true)
+            inherit_from_new_ledger(board, ledger, true)
         }
         CallOrigin::Home { context } => {
             let ledger = home_ledger(now, context);
-            own_funding(board, ledger, false)
+            inherit_from_new_ledger(board, ledger, false)
         }
         CallOrigin::Backend { token, trace } => {
             let found = board.overload.ledgers.find(*token, *trace);
             match found {
-                Some(token) => shared_funding(board, token),
+                Some(token) => inherit_from_existing_ledger(board, token),
                 None => {
                     board.counters.add(Counter::OrphanCalls);
                     let ledger = orphan_ledger(board, trace.unwrap_or_default());
-                    own_funding(board, ledger, false)
+                    inherit_from_new_ledger(board, ledger, false)
                 }
             }
         }
     }
 }
 
-fn own_funding(board: &mut Blackboard, ledger: Ledger, is_entry: bool) -> Funding {
+fn inherit_from_new_ledger(
+    board: &mut Blackboard,
+    ledger: Ledger,
+    is_entry: bool,
+) -> InheritedContext {
     let token = board.random.random();
-    let mut funding = funding_of(token, &ledger);
-    funding.owns_ledger = true;
-    funding.is_entry = is_entry;
+    let mut inherited = inherit_from_ledger(token, &ledger);
+    inherited.owns_ledger = true;
+    inherited.is_entry = is_entry;
     board.overload.ledgers.insert_for_call(token, ledger);
-    funding
+    inherited
 }
 
-fn shared_funding(board: &Blackboard, token: LedgerToken) -> Funding {
+fn inherit_from_existing_ledger(board: &Blackboard, token: LedgerToken) -> InheritedContext {
     let ledger = board.overload.ledgers.get(token);
-    funding_of(token, ledger.expect("the token was found just now"))
+    inherit_from_ledger(token, ledger.expect("the token was found just now"))
 }
 
-fn funding_of(token: LedgerToken, ledger: &Ledger) -> Funding {
-    Funding {
+fn inherit_from_ledger(token: LedgerToken, ledger: &Ledger) -> InheritedContext {
+    InheritedContext {
         ledger: token,
         owns_ledger: false,
         is_entry: false,
@@ -218,15 +226,16 @@
         request,
         String::from(caller),
         Importance::new(class, cohort),
-        now.monotonic + GREATEST_TIME_ALLOWED,
+        now.monotonic + MAX_TIME_ALLOWED,
         allowance_count,
     )
 }
 
-/// The cohort of a request: the same for resends under one trace id during an
-/// epoch, so that resending gains nothing, and another one in the next epoch,
-/// so that nobody is refused for hours. The keyed hash keeps callers from
-/// working out a trace id that is refused last.
+/// Computes the cohort of a request from its trace id and the current epoch.
+///
+/// Resends with the same trace id get the same cohort during an epoch, so that resending has no
+/// advantage, and another one in the next epoch, so that nobody is refused for hours. Because
+/// the hash is keyed, callers can't compute a trace id that is refused last.
 fn cohort_of(board: &Blackboard, now: Moment, trace: TraceId) -> Cohort {
     let epoch = now.unix_ms() / COHORT_EPOCH_MS;
     let mut bytes = [0; 24];
@@ -240,21 +249,23 @@
     Ledger::from_context(context, now.monotonic + remaining)
 }
 
-/// The ledger of a call whose request has ended, or that belongs to none: the
-/// lowest class and no retries. Work that goes on after the answer was given
-/// must not take room from requests that somebody waits for.
+/// Creates the ledger of an orphan call, whose request has ended or is unknown, with the lowest
+/// importance and without retries.
+///
+/// Work that continues after its request was answered must not take capacity from requests
+/// whose callers still wait.
 fn orphan_ledger(board: &mut Blackboard, trace: TraceId) -> Ledger {
     Ledger::new(
         trace,
         board.random.random(),
         CallerName::new(),
         ORPHAN_IMPORTANCE,
-        Duration::MAX - GREATEST_TIME_ALLOWED,
+        Duration::MAX - MAX_TIME_ALLOWED,
         0,
     )
 }
 
-fn reason_to_refuse(board: &mut Blackboard, now: Moment, id: CallId) -> Option<Refusal> {
+fn refusal_before_send(board: &mut Blackboard, now: Moment, id: CallId) -> Option<Refusal> {
     let call = board.calls.calls.get(&id)?;
     let verdict = quarantine::check(board, now, &call.arrived.service, call.fingerprint);
     if let Verdict::Refuse(refusal) = verdict {
@@ -264,11 +275,11 @@
         return None;
     }
     let importance = call.importance;
-    let refusing =
+    let overloaded =
         overload::refusing_service(board, now.monotonic, call.service, call.route, importance)?;
     board.counters.add(Counter::CallsRefusedAtEntry);
-    let refusing = board.overload.services.get(refusing);
-    let level = overload::highest_level(refusing);
+    let overloaded = board.overload.services.get(overloaded);
+    let level = overload::highest_level(overloaded);
     let retry_after = overload::retry_after(&mut board.random, level, importance);
-    Some(refusals::overloaded(&refusing.name, retry_after))
+    Some(refusals::overloaded(&overloaded.name, retry_after))
 }
--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends attempts of a call.
+//! Starts the attempts of a call.
 
 use std::time::Duration;
 
@@ -12,16 +12,17 @@
     quarantine::{self, Verdict},
 };
 
-/// The share of the time left that a node keeps for itself and the way back.
+/// Divisor of the time left that gives the margin: the time that a node reserves for its own
+/// processing and the transfer of the answer.
 const MARGIN_DIVISOR: u32 = 50;
 
-/// The least time that a node keeps.
-const MARGIN_LEAST: Duration = Duration::from_millis(1);
+/// Lower bound of the margin.
+const MIN_MARGIN: Duration = Duration::from_millis(1);
 
-/// The greatest time that a node keeps.
-const MARGIN_GREATEST: Duration = Duration::from_millis(10);
+/// Upper bound of the margin.
+const MAX_MARGIN: Duration = Duration::from_millis(10);
 
-/// Goes on with a call that has no attempt out: waits, sends or ends it.
+/// Continues a call that has no attempt under way: starts an attempt, waits or ends the call.
 pub(crate) fn resume(board: &mut Blackboard, now: Moment, id: CallId, out: &mut Vec<Output>) {
     let Some(call) = board.calls.calls.get(&id) else {
         return;
@@ -31,14 +32,14 @@
         None => OperationStep::Proceed,
     };
     match step {
-        OperationStep::Proceed => send(board, now, id, None, out),
-        OperationStep::SendHome(home) => send(board, now, id, Some(home), out),
+        OperationStep::Proceed => start_attempt(board, now, id, None, out),
+        OperationStep::SendHome(home) => start_attempt(board, now, id, Some(home), out),
         OperationStep::Finish(ending) => finish(board, now, id, ending, out),
         OperationStep::Wait => {}
     }
 }
 
-fn send(
+fn start_attempt(
     board: &mut Blackboard,
     now: Moment,
     id: CallId,
@@ -48,24 +49,24 @@
     let Some(call) = board.calls.calls.get(&id) else {
         return;
     };
-    let left = call.deadline.saturating_sub(now.monotonic);
-    if left <= margin(left) {
-        refuse(board, now, id, refusals::too_late(), out);
+    let time_left = call.deadline.saturating_sub(now.monotonic);
+    if time_left <= margin(time_left) {
+        refuse(board, now, id, refusals::deadline_passed(), out);
         return;
     }
     let Some(picked) = pick_endpoint(board, now, id, home.as_ref()) else {
         refuse(board, now, id, refusals::no_backend_server(), out);
         return;
     };
-    if !pay(board, id) {
-        refuse(board, now, id, refusals::allowance_spent(), out);
+    if !charge_attempt(board, id) {
+        refuse(board, now, id, refusals::retries_exhausted(), out);
         return;
     }
     let peer = picked.peer;
     let is_home = home.is_some();
     let attempt = board.next_id();
-    let wants_services = asks_for_services(board, now.monotonic, id);
-    let lent_count = lend(board, id);
+    let wants_services = should_request_services(board, now.monotonic, id);
+    let lent_count = lend_allowance(board, id);
     let Some(call) = board.calls.calls.get_mut(&id) else {
         return;
     };
@@ -81,7 +82,7 @@
     if !is_home {
         overload::on_sent(board, picked);
     }
-    let Some(context) = context_of(board, now.monotonic, id) else {
+    let Some(context) = request_context(board, now.monotonic, id) else {
         return;
     };
     operations::on_attempt_started(board, id);
@@ -90,11 +91,14 @@
         attempt,
         target: peer,
         context,
-        timeout: left,
+        timeout: time_left,
     }));
 }
 
-/// Ends a call that can't be sent; earlier attempts may leave it undecided.
+/// Ends a call with a refusal because no attempt can be started.
+///
+/// The outcome in the refusal is that of the operation or of the earlier attempts, which may
+/// have run.
 pub(super) fn refuse(
     board: &mut Blackboard,
     now: Moment,
@@ -112,8 +116,8 @@
     finish(board, now, id, CallEnding::Refuse(refusal), out);
 }
 
-fn margin(left: Duration) -> Duration {
-    (left / MARGIN_DIVISOR).clamp(MARGIN_LEAST, MARGIN_GREATEST)
+fn margin(time_left: Duration) -> Duration {
+    (time_left / MARGIN_DIVISOR).clamp(MIN_MARGIN, MAX_MARGIN)
 }
 
 fn pick_endpoint(
@@ -128,11 +132,11 @@
     }
     let service = call.arrived.service.clone();
     let verdict = quarantine::check(board, now, &service, call.fingerprint);
-    let is_alone = verdict == Verdict::Isolate;
-    let proving = is_alone
+    let is_isolated = verdict == Verdict::Isolate;
+    let isolation_peer = is_isolated
         .then(|| quarantine::isolation_endpoint(board, &service))
         .flatten();
-    if let Some(peer) = proving {
+    if let Some(peer) = isolation_peer {
         return overload::endpoint_at(board, &service, peer);
     }
     let tried = call.tried.clone();
@@ -145,13 +149,14 @@
     overload::pick(board, now.monotonic, &service, criteria)
 }
 
-/// Pays for what an attempt adds to a clean run.
+/// Charges an attempt to the retry allowance of the request; returns false if too little is
+/// left.
 ///
-/// The first attempt of a call is part of the clean run, unless the work that
-/// makes the call is itself a repeat: an earlier run may have made it already.
-/// A further attempt costs one, and as many as the callee's subtree made free of
-/// charge in the attempt before, since it will make these again.
-fn pay(board: &mut Blackboard, id: CallId) -> bool {
+/// The first attempt of a call is free, unless the work that makes the call is itself a retry:
+/// the earlier run may already have made the call. A further attempt costs 1, plus the number
+/// of attempts that the callee's subtree made free of charge in the failed attempt, since it
+/// will make them again. The attempt is also counted in the retry budget of the service.
+fn charge_attempt(board: &mut Blackboard, id: CallId) -> bool {
     let policy = board.settings.policy;
     let Some(call) = board.calls.calls.get(&id) else {
         return false;
@@ -182,14 +187,14 @@
     ledger.allowance.try_spend(1 + subtree_count)
 }
 
-fn lend(board: &mut Blackboard, id: CallId) -> u16 {
+fn lend_allowance(board: &mut Blackboard, id: CallId) -> u16 {
     let split = board.settings.policy.allowance_split;
     let call = board.calls.calls.get(&id);
     let ledger = call.and_then(|call| board.overload.ledgers.get_mut(call.ledger));
     ledger.map_or(0, |ledger| ledger.allowance.lend(split))
 }
 
-fn asks_for_services(board: &mut Blackboard, now: Duration, id: CallId) -> bool {
+fn should_request_services(board: &mut Blackboard, now: Duration, id: CallId) -> bool {
     let Some(call) = board.calls.calls.get(&id) else {
         return false;
     };
@@ -197,7 +202,7 @@
         return false;
     }
     let ledger = board.overload.ledgers.get(call.ledger);
-    let is_asked = ledger.is_some_and(|ledger| ledger.wants_services);
+    let is_requested = ledger.is_some_and(|ledger| ledger.wants_services);
     let arrived = &call.arrived;
     let label = || format!("{} {} {}", arrived.method, arrived.service, arrived.path);
     let new_route = || Route::new(label());
@@ -205,14 +210,14 @@
         .overload
         .routes
         .get_or_insert_with(call.route, new_route);
-    route.begin_services_request(now) || is_asked
+    route.begin_services_request(now) || is_requested
 }
 
-fn context_of(board: &Blackboard, now: Duration, id: CallId) -> Option<RequestContext> {
+fn request_context(board: &Blackboard, now: Duration, id: CallId) -> Option<RequestContext> {
     let call = board.calls.calls.get(&id)?;
     let attempt = call.attempt.as_ref()?;
-    let left = call.deadline.saturating_sub(now);
-    let remaining = left.saturating_sub(margin(left));
+    let time_left = call.deadline.saturating_sub(now);
+    let remaining = time_left.saturating_sub(margin(time_left));
     Some(RequestContext {
         trace: call.trace,
         request: call.request,
--- a/crates/kumquatquay-core/src/call/call_table.rs
+++ b/crates/kumquatquay-core/src/call/call_table.rs
@@ -1,4 +1,4 @@
-//! Calls under way.
+//! Table of the calls under way.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -12,94 +12,95 @@
     overload::{RouteKey, ServiceId},
 };
 
-/// How long after its deadline a call is forgotten if its host never says how
-/// its attempt ended.
-const LAPSE_GRACE: Duration = Duration::from_secs(30);
+/// Time after its deadline at which a call expires, if the host has not reported the end of its
+/// attempt.
+const EXPIRY_GRACE: Duration = Duration::from_secs(30);
 
-/// Calls that a node keeps; more are refused.
-pub(super) const CALLS_LIMIT_COUNT: usize = 65_536;
+/// Maximum number of calls under way; further ones are refused.
+pub(super) const MAX_CALLS_COUNT: usize = 65_536;
 
-/// One call under way.
+/// A call under way.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// As it arrived.
+    /// The call as it arrived.
     pub(crate) arrived: CallArrived,
-    /// When it must be answered, on the monotonic clock.
+    /// Deadline of the answer, on the monotonic clock.
     pub(crate) deadline: Duration,
-    /// The ledger that pays for it.
+    /// Ledger to which its attempts are booked.
     pub(crate) ledger: LedgerToken,
-    /// Whether the ledger belongs to this call alone and ends with it.
+    /// Whether the ledger was created for this call and is removed with it.
     pub(crate) owns_ledger: bool,
-    /// The caller at the entry of the whole request.
+    /// Caller of the root request.
     pub(crate) caller: CallerName,
-    /// Trace of the whole request.
+    /// Trace id of the root request.
     pub(crate) trace: TraceId,
-    /// The whole request, as its entry named it.
+    /// Id that the entry gave to the root request.
     pub(crate) request: RequestId,
-    /// Calls between the entry and this host.
+    /// Number of calls between the entry and this host.
     pub(crate) depth_count: u8,
-    /// Whether the work that makes the call is a repeat.
+    /// Whether an earlier attempt of the work that makes this call may have run.
     pub(crate) is_repeat: bool,
-    /// Importance of the whole request.
+    /// Importance of the root request.
     pub(crate) importance: Importance,
-    /// Whether running it twice has the effect of running it once.
+    /// Whether the call can be run twice with the same effect as once.
     pub(crate) is_idempotent: bool,
-    /// What identifies it across resends.
+    /// Fingerprint, which is the same for all resends of the call.
     pub(crate) fingerprint: Fingerprint,
-    /// Calls a second that its caller may make to the service; 0 for no limit.
+    /// Rate limit of the caller at the service, in calls per second; 0 if there is none or the
+    /// call did not enter the mesh here.
     pub(crate) caller_limit_per_s: u32,
-    /// Set if it names a non-idempotent operation.
+    /// The operation, if the call names a non-idempotent one.
     pub(crate) operation: Option<OperationCall>,
-    /// The service, if anything is kept of it.
+    /// The called service, if it is in the service table.
     pub(crate) service: Option<ServiceId>,
-    /// What kind of call it is.
+    /// Route of the call: service, method and shape of the path.
     pub(crate) route: RouteKey,
-    /// The attempt that is out, if any.
+    /// The attempt under way, if any.
     pub(crate) attempt: Option<Attempt>,
-    /// The attempt that ended last.
+    /// The attempt that was the last to end.
     pub(crate) last_attempt: Option<AttemptId>,
-    /// Backend servers that were tried.
+    /// Endpoints of the attempts so far.
     pub(crate) tried: Vec<SocketAddr>,
-    /// What the next attempt is charged.
+    /// What the next attempt costs as a retry.
     pub(crate) retry_cost: RetryCost,
-    /// What is certain of all attempts that ended.
+    /// Combined outcome of all attempts that have ended.
     pub(crate) outcome: Outcome,
-    /// Whether its caller has gone.
+    /// Whether the caller has disconnected.
     pub(crate) is_abandoned: bool,
 }
 
-/// What an attempt is charged to the retry allowance.
+/// What a retry costs of the retry allowance, beyond the attempt itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RetryCost {
-    /// Attempts that the callee's subtree made before, free of charge, and that
-    /// this attempt will make once more.
+    /// Attempts that the callee's subtree made free of charge in the failed attempt and will
+    /// make again.
     pub(crate) subtree_count: u16,
-    /// Whether that number is not known, so that the callee has to pay each of
-    /// its calls as it makes them.
+    /// Whether that number is unknown, so that the callee has to charge each of its calls to
+    /// the allowance as it makes them.
     pub(crate) is_unknown: bool,
 }
 
-/// One attempt that is out.
+/// An attempt under way.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) id: AttemptId,
-    /// Peer address of the node it went to.
+    /// Peer address of the node to which it was sent.
     pub(crate) peer: SocketAddr,
-    /// When it went out.
+    /// When it was started, on the monotonic clock.
     pub(crate) started: Duration,
-    /// Retries lent with it.
+    /// Retries lent to the callee.
     pub(crate) lent_count: u16,
-    /// Whether its answer was asked to name all services.
+    /// Whether its answer should name all services that the subtree reached.
     pub(crate) wants_services: bool,
-    /// Set if it went to the home of an operation.
+    /// The operation, if the attempt was sent to its home node.
     pub(crate) home: Option<OperationRef>,
 }
 
-/// Calls under way, by id.
+/// Table of the calls under way.
 #[derive(Debug, Default)]
 pub(crate) struct CallTable {
     pub(crate) calls: HashMap<CallId, Call>,
-    /// When lapsed calls were last cleared away.
+    /// When expired calls were last removed.
     pub(super) last_sweep: Duration,
 }
 
@@ -108,16 +109,16 @@
         self.calls.len()
     }
 
-    /// Calls whose deadline passed long ago, in the order of their ids.
+    /// Returns the calls whose deadline passed more than [`EXPIRY_GRACE`] ago, ordered by id.
     pub(super) fn expired(&self, now: Duration) -> Vec<CallId> {
         let calls = self.calls.iter();
-        let expired = calls.filter(|(_, call)| call.deadline + LAPSE_GRACE < now);
+        let expired = calls.filter(|(_, call)| call.deadline + EXPIRY_GRACE < now);
         let mut expired: Vec<_> = expired.map(|(id, _)| *id).collect();
         expired.sort_unstable();
         expired
     }
 
     pub(super) fn is_full(&self) -> bool {
-        self.calls.len() >= CALLS_LIMIT_COUNT
+        self.calls.len() >= MAX_CALLS_COUNT
     }
 }
--- a/crates/kumquatquay-core/src/call/controller.rs
+++ b/crates/kumquatquay-core/src/call/controller.rs
@@ -1,4 +1,4 @@
-//! The life of a call: admission, attempts, answer.
+//! Handles the events of calls.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use crate::{Blackboard, CallInput, Moment, Output, operations};
 
-/// How often lapsed calls are cleared away.
+/// How often expired calls are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(crate) fn on_input(
--- a/crates/kumquatquay-core/src/call/ending.rs
+++ b/crates/kumquatquay-core/src/call/ending.rs
@@ -1,4 +1,4 @@
-//! How attempts and calls end.
+//! Ends attempts and calls: records results, decides on retries and finishes calls.
 
 use std::time::Duration;
 
@@ -18,15 +18,15 @@
     quarantine,
 };
 
-/// Statuses by which a backend server or its node says that it could not serve
-/// an idempotent request now: another one may.
-const RETRIED_STATUSES: [u16; 3] = [502, 503, 504];
+/// HTTP statuses after which an idempotent call may be retried: the backend server or its node
+/// could not serve it now, but another one may.
+const RETRYABLE_STATUSES: [u16; 3] = [502, 503, 504];
 
-/// Takes in how an attempt ended.
+/// Handles the end of an attempt: retries or finishes the call.
 ///
-/// An answer belongs to the one attempt that is out. One that comes twice, or
-/// after the attempt was given up, is ignored: it must neither answer another
-/// attempt's call nor give back retries a second time.
+/// Only the result of the attempt under way is accepted. A duplicate, or a result that arrives
+/// after the attempt was cancelled, is ignored: it must neither end another attempt nor return
+/// its retries a second time.
 pub(super) fn on_attempt_ended(
     board: &mut Blackboard,
     now: Moment,
@@ -38,15 +38,15 @@
         board.counters.add(Counter::AnswersIgnored);
         return;
     };
-    let answer = context_of(&ended, &attempt).cloned();
+    let answer = answer_context_of(&ended, &attempt).cloned();
     let outcome = outcome_of(&ended.result, answer.as_ref());
-    settle(board, now, id, &attempt, &ended.result, answer.as_ref());
+    record_result(board, now, id, &attempt, &ended.result, answer.as_ref());
     let Some(call) = board.calls.calls.get_mut(&id) else {
         return;
     };
     call.last_attempt = Some(attempt.id);
     let earlier = call.outcome;
-    call.outcome = worse(earlier, outcome);
+    call.outcome = combine_outcomes(earlier, outcome);
     let operation = call.operation.clone();
     if attempt.home.is_none() {
         let (service, fingerprint) = (call.arrived.service.clone(), call.fingerprint);
@@ -93,15 +93,19 @@
 
 fn take_attempt(board: &mut Blackboard, ended: &AttemptEnded) -> Option<Attempt> {
     let call = board.calls.calls.get_mut(&ended.call)?;
-    let is_out = call
+    let is_current = call
         .attempt
         .as_ref()
         .is_some_and(|attempt| attempt.id == ended.attempt);
-    if is_out { call.attempt.take() } else { None }
+    if is_current {
+        call.attempt.take()
+    } else {
+        None
+    }
 }
 
-/// What the answering node says, if it says it of this attempt.
-fn context_of<'a>(ended: &'a AttemptEnded, attempt: &Attempt) -> Option<&'a AnswerContext> {
+/// Returns the context of the answer, if there is one and it belongs to this attempt.
+fn answer_context_of<'a>(ended: &'a AttemptEnded, attempt: &Attempt) -> Option<&'a AnswerContext> {
     let AttemptResult::Answered(head) = &ended.result else {
         return None;
     };
@@ -117,8 +121,8 @@
     }
 }
 
-/// What is certain of two attempts together.
-fn worse(earlier: Outcome, later: Outcome) -> Outcome {
+/// Combines the outcomes of two attempts: the later one counts, unless it is `NotRun`.
+fn combine_outcomes(earlier: Outcome, later: Outcome) -> Outcome {
     match (earlier, later) {
         (Outcome::NotRun, later) => later,
         (earlier, Outcome::NotRun) => earlier,
@@ -127,18 +131,19 @@
     }
 }
 
-/// Whether another attempt could do better.
+/// Whether the attempt failed so that another one could succeed.
 fn is_failure(result: &AttemptResult, outcome: Outcome) -> bool {
     match result {
         AttemptResult::Answered(AnswerHead { status, .. }) => {
-            outcome == Outcome::NotRun || RETRIED_STATUSES.contains(status)
+            outcome == Outcome::NotRun || RETRYABLE_STATUSES.contains(status)
         }
         AttemptResult::NotSent | AttemptResult::Broken | AttemptResult::TimedOut => true,
     }
 }
 
-/// Books what an attempt gave back and what it tells of services and targets.
-fn settle(
+/// Records the result of an attempt: the retries that the callee returned, the load and health
+/// of the endpoint, the levels of services and the services that the route reaches.
+fn record_result(
     board: &mut Blackboard,
     now: Moment,
     id: CallId,
@@ -150,10 +155,10 @@
         return;
     };
     let (ledger, service, route) = (call.ledger, call.service, call.route);
-    let called_name = call.arrived.service.clone();
-    let took = now.monotonic - attempt.started;
+    let service_name = call.arrived.service.clone();
+    let latency = now.monotonic - attempt.started;
     let endpoint_result = match (result, answer) {
-        (_, Some(answer)) if answer.outcome == Outcome::Ran => EndpointResult::Ran(took),
+        (_, Some(answer)) if answer.outcome == Outcome::Ran => EndpointResult::Ran(latency),
         (_, Some(answer)) if answer.outcome == Outcome::NotRun => EndpointResult::Rejected,
         (AttemptResult::TimedOut, _) => EndpointResult::Cancelled,
         _ => EndpointResult::Failed,
@@ -167,12 +172,12 @@
         endpoint_result,
     );
     let Some(answer) = answer else {
-        settle_without_answer(board, ledger, attempt, result);
+        record_missing_answer(board, ledger, attempt, result);
         return;
     };
     let mut reached_services = Vec::new();
     if board.settings.policy.has_levels {
-        let (own, others) = split_levels(&answer.levels, &called_name);
+        let (own, others) = split_gate_level(&answer.levels, &service_name);
         if let Some(own) = own {
             overload::observe_gate_level(board, now.monotonic, attempt.peer, own);
         }
@@ -192,12 +197,12 @@
             ledger.add_reached_service(service);
         }
     }
-    learn_route(board, route, attempt, result, answer, &reached_services);
+    record_route(board, route, attempt, result, answer, &reached_services);
 }
 
-/// Tells the level of the answering gate itself, which goes first, from those that
-/// it learnt from others.
-fn split_levels<'a>(
+/// Splits the levels of an answer into the level of the answering gate, which comes first and
+/// has age 0, and the levels that its node has observed elsewhere.
+fn split_gate_level<'a>(
     levels: &'a [ServiceLevel],
     called: &str,
 ) -> (Option<&'a ServiceLevel>, &'a [ServiceLevel]) {
@@ -207,9 +212,11 @@
     }
 }
 
-/// What was not handed over spent nothing, and its loan comes back. Of any other
-/// attempt without an answer the loan is lost, and nobody knows what it made.
-fn settle_without_answer(
+/// Records the result of an attempt without an answer context.
+///
+/// If the request was not sent, the lent retries are returned. Otherwise they are lost, and the
+/// number of attempts that the subtree made is unknown.
+fn record_missing_answer(
     board: &mut Blackboard,
     ledger: LedgerToken,
     attempt: &Attempt,
@@ -230,7 +237,7 @@
     }
 }
 
-fn learn_route(
+fn record_route(
     board: &mut Blackboard,
     key: overload::RouteKey,
     attempt: &Attempt,
@@ -241,22 +248,22 @@
     let AttemptResult::Answered(head) = result else {
         return;
     };
-    let is_whole = answer.outcome == Outcome::Ran && head.status < 500;
+    let is_complete = answer.outcome == Outcome::Ran && head.status < 500;
     let Some(route) = board.overload.routes.get_mut(key) else {
         return;
     };
-    if is_whole && answer.attempts_count != AnswerContext::ATTEMPTS_UNKNOWN {
+    if is_complete && answer.attempts_count != AnswerContext::ATTEMPTS_UNKNOWN {
         route.record_attempts(answer.attempts_count);
     }
-    if attempt.wants_services || !is_whole {
-        route.record_services(reached_services, is_whole && attempt.wants_services);
+    if attempt.wants_services || !is_complete {
+        route.record_services(reached_services, is_complete && attempt.wants_services);
     }
 }
 
-/// What another attempt is charged; `None` if none may start.
+/// Returns the cost of another attempt, or `None` if no attempt is allowed.
 ///
-/// Without a retry allowance each layer tries a fixed number of times, as most
-/// systems do; experiments compare against that.
+/// If the policy has no retry allowance, each layer makes a fixed number of attempts, as in
+/// most systems; experiments compare against this.
 fn cost_of_retry(
     board: &Blackboard,
     now: Moment,
@@ -265,37 +272,38 @@
     answer: Option<&AnswerContext>,
 ) -> Option<RetryCost> {
     let call = board.calls.calls.get(&id)?;
-    let may_repeat = outcome == Outcome::NotRun || call.is_idempotent;
-    let left = call.deadline.saturating_sub(now.monotonic);
-    if call.is_abandoned || !may_repeat || !call.arrived.is_replayable || left.is_zero() {
+    let may_run_again = outcome == Outcome::NotRun || call.is_idempotent;
+    let time_left = call.deadline.saturating_sub(now.monotonic);
+    if call.is_abandoned || !may_run_again || !call.arrived.is_replayable || time_left.is_zero() {
         return None;
     }
     let policy = board.settings.policy;
     if !policy.has_retry_allowance {
-        let has_try = call.tried.len() < usize::from(policy.tries_count);
-        return has_try.then(RetryCost::default);
+        let has_attempt_left = call.tried.len() < usize::from(policy.tries_count);
+        return has_attempt_left.then(RetryCost::default);
     }
     let ledger = board.overload.ledgers.get(call.ledger)?;
     let (retry_cost, expected_count) = cost_of_subtree(board, call, outcome, answer);
     let service = &call.arrived.service;
     let is_safe = quarantine::may_retry(board, now, service, call.fingerprint);
     let is_affordable = ledger.allowance.remaining_count() > expected_count;
-    let is_safe = is_safe && !failed_for_overload(outcome, answer);
-    let is_allowed = is_affordable && is_safe && service_allows(board, now, call, left);
+    let is_safe = is_safe && !failed_due_to_overload(outcome, answer);
+    let is_allowed = is_affordable && is_safe && service_allows_retry(board, now, call, time_left);
     is_allowed.then_some(retry_cost)
 }
 
-/// Whether a service in the subtree of a failed attempt was overloaded. The callee
-/// ran and most likely failed for that reason; running it once more would throw
-/// more work away, and take room from requests that were not tried yet.
-fn failed_for_overload(outcome: Outcome, answer: Option<&AnswerContext>) -> bool {
+/// Whether a service in the subtree of a failed attempt was overloaded.
+///
+/// The callee has run and most likely failed for this reason. A retry would waste more work and
+/// take capacity from requests that have not been attempted yet.
+fn failed_due_to_overload(outcome: Outcome, answer: Option<&AnswerContext>) -> bool {
     let is_overloaded = |level: &ServiceLevel| level.least_admitted > Importance::LEAST;
     let levels = answer.map_or(&[][..], |answer| &answer.levels);
     outcome != Outcome::NotRun && levels.iter().any(is_overloaded)
 }
 
-/// What the subtree of a failed attempt has cost and will cost once more, and
-/// how much of the allowance that is expected to take.
+/// Returns the cost of repeating the subtree of a failed attempt, and the part of the allowance
+/// that this is expected to use.
 fn cost_of_subtree(
     board: &Blackboard,
     call: &Call,
@@ -323,16 +331,19 @@
     )
 }
 
-/// Whether the service can be expected to answer another attempt.
-fn service_allows(board: &Blackboard, now: Moment, call: &Call, left: Duration) -> bool {
+/// Whether a retry is allowed by the retry budget and the levels of the service and can be
+/// expected to be answered before the deadline.
+fn service_allows_retry(board: &Blackboard, now: Moment, call: &Call, time_left: Duration) -> bool {
     let Some(id) = call.service else {
         return false;
     };
     let service = board.overload.services.get(id);
     let reached = (Some(id), call.route, call.importance);
     let (called, route, importance) = reached;
-    let refusing = overload::refusing_service(board, now.monotonic, called, route, importance);
-    service.retry_budget.has_retry() && left.as_secs_f64() > service.latency_s && refusing.is_none()
+    let overloaded = overload::refusing_service(board, now.monotonic, called, route, importance);
+    service.retry_budget.has_retry()
+        && time_left.as_secs_f64() > service.latency_s
+        && overloaded.is_none()
 }
 
 fn ending_of(
@@ -342,24 +353,24 @@
     outcome: Outcome,
 ) -> CallEnding {
     let call = board.calls.calls.get(&id);
-    let whole_outcome = call.map_or(outcome, |call| call.outcome);
+    let call_outcome = call.map_or(outcome, |call| call.outcome);
     match result {
         AttemptResult::Answered(_) => CallEnding::PassAnswer {
             attempt: call.and_then(|call| call.last_attempt).unwrap_or_default(),
-            outcome: whole_outcome,
+            outcome: call_outcome,
             allowance_returned_count: 0,
         },
         AttemptResult::NotSent => CallEnding::Refuse(Refusal {
-            outcome: whole_outcome,
+            outcome: call_outcome,
             ..refusals::no_backend_server()
         }),
-        AttemptResult::Broken => CallEnding::Refuse(refusals::broken(whole_outcome)),
-        AttemptResult::TimedOut => CallEnding::Refuse(refusals::timed_out(whole_outcome)),
+        AttemptResult::Broken => CallEnding::Refuse(refusals::broken(call_outcome)),
+        AttemptResult::TimedOut => CallEnding::Refuse(refusals::timed_out(call_outcome)),
     }
 }
 
-/// Refuses a call that was not taken in.
-pub(super) fn refuse_unknown(
+/// Refuses a call that was not put into the call table.
+pub(super) fn refuse_unregistered(
     board: &mut Blackboard,
     call: CallId,
     refusal: Refusal,
@@ -370,7 +381,8 @@
     out.push(Output::FinishCall { call, ending });
 }
 
-/// Ends a call.
+/// Ends a call: removes it, and its ledger if it owns one, and outputs the answer or refusal
+/// unless the caller has disconnected.
 pub(crate) fn finish(
     board: &mut Blackboard,
     now: Moment,
@@ -395,7 +407,7 @@
     }
     if call.owns_ledger {
         let ledger = board.overload.ledgers.remove(call.ledger);
-        give_back(&call.arrived.origin, ledger, &mut ending);
+        return_unspent_retries(&call.arrived.origin, ledger, &mut ending);
     }
     if !call.is_abandoned {
         out.push(Output::FinishCall { call: id, ending });
@@ -405,13 +417,16 @@
     }
 }
 
-/// Ends calls whose host never said how their attempt ended. Each would keep its
-/// room for ever, and the node would refuse all calls once none is left.
+/// Ends expired calls, for which the host did not report the end of the attempt.
+///
+/// Otherwise they would stay in the call table for ever, and the node would refuse all calls
+/// once it is full.
 pub(super) fn finish_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     for id in board.calls.expired(now.monotonic) {
         let call = board.calls.calls.get(&id);
-        let out_there = call.and_then(|call| Some((call.service, call.attempt.as_ref()?.peer)));
-        if let Some((service, peer)) = out_there {
+        let current_attempt =
+            call.and_then(|call| Some((call.service, call.attempt.as_ref()?.peer)));
+        if let Some((service, peer)) = current_attempt {
             overload::on_ended(
                 board,
                 now.monotonic,
@@ -425,8 +440,13 @@
     }
 }
 
-/// Gives the sender of a call to the home of an operation its retries back.
-fn give_back(origin: &CallOrigin, ledger: Option<overload::Ledger>, ending: &mut CallEnding) {
+/// Returns the unspent retries of a call that another node sent to this node as the home of an
+/// operation.
+fn return_unspent_retries(
+    origin: &CallOrigin,
+    ledger: Option<overload::Ledger>,
+    ending: &mut CallEnding,
+) {
     let CallOrigin::Home { context } = origin else {
         return;
     };
@@ -440,11 +460,11 @@
     }
 }
 
-/// Takes in that whoever made a call has gone.
+/// Handles that the caller has disconnected.
 ///
-/// An idempotent call is given up at once, so that nothing runs for nobody. A
-/// non-idempotent one is not: it may have been handed over, and half a filing
-/// is worse than one that nobody waits for.
+/// A call without an attempt under way is ended. An idempotent call is cancelled, so that no
+/// more work is done for it. A non-idempotent call continues: it may have been sent to a
+/// backend server, and half an operation is worse than one that nobody waits for.
 pub(super) fn on_abandoned(board: &mut Blackboard, now: Moment, id: CallId, out: &mut Vec<Output>) {
     let Some(call) = board.calls.calls.get_mut(&id) else {
         return;
@@ -459,10 +479,10 @@
     if !call.is_idempotent {
         return;
     }
-    give_up(board, now, id, &attempt, out);
+    cancel_call(board, now, id, &attempt, out);
 }
 
-fn give_up(
+fn cancel_call(
     board: &mut Blackboard,
     now: Moment,
     id: CallId,
@@ -491,7 +511,8 @@
     finish(board, now, id, ending, out);
 }
 
-/// Gives up idempotent calls that were made for work that was cancelled.
+/// Cancels the idempotent calls that were made for cancelled work and have an attempt under
+/// way.
 pub(crate) fn cancel_for_work(
     board: &mut Blackboard,
     now: Moment,
@@ -504,7 +525,7 @@
         };
         let attempt = call.attempt.clone();
         if let (true, Some(attempt)) = (call.is_idempotent, attempt) {
-            give_up(board, now, *id, &attempt, out);
+            cancel_call(board, now, *id, &attempt, out);
         }
     }
 }
--- a/crates/kumquatquay-core/src/call/mod.rs
+++ b/crates/kumquatquay-core/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that leave through this node, from arrival to answer.
+//! Outgoing calls of this node: admission, attempts, retries and answers.
 
 mod arrival;
 mod attempt;
--- a/crates/kumquatquay-core/src/call/refusals.rs
+++ b/crates/kumquatquay-core/src/call/refusals.rs
@@ -1,4 +1,4 @@
-//! The refusals that a call can end with.
+//! Refusals with which calls end.
 
 use std::time::Duration;
 
@@ -6,36 +6,36 @@
 
 use crate::{Refusal, RefusalReason};
 
-/// When to come back where nothing better is known.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `Retry-After` of refusals for which no better value is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) fn no_backend_server() -> Refusal {
     not_run(
         RefusalReason::NoBackendServer,
-        "no backend server of the service is known or can be reached here",
+        "this node knows no backend server of the service or can't reach any",
     )
 }
 
 pub(super) fn node_full() -> Refusal {
     not_run(
         RefusalReason::Overloaded,
-        "this node has as many calls under way as it can keep",
+        "this node has reached its limit of concurrent calls",
     )
 }
 
-pub(super) fn allowance_spent() -> Refusal {
+pub(super) fn retries_exhausted() -> Refusal {
     not_run(
         RefusalReason::RetriesSpent,
-        "the request has no retries left that this repeated call could use",
+        "the request has too few retries left to make this call again",
     )
 }
 
-pub(super) fn too_late() -> Refusal {
+pub(super) fn deadline_passed() -> Refusal {
     Refusal {
         retry_after: None,
         ..not_run(
             RefusalReason::Deadline,
-            "the time allowed ran out before the call was sent",
+            "the deadline passed before the call was sent",
         )
     }
 }
@@ -45,35 +45,35 @@
         reason: RefusalReason::Overloaded,
         outcome: Outcome::NotRun,
         retry_after: Some(retry_after),
-        detail: format!("{service} is overloaded and serves more important requests first"),
+        detail: format!("{service} is overloaded and admits only more important requests"),
     }
 }
 
 pub(super) fn abandoned(outcome: Outcome) -> Refusal {
-    lost(
+    without_retry_after(
         RefusalReason::Abandoned,
         outcome,
-        "the request that this call was made for was given up",
+        "the request for which this call was made was cancelled",
     )
 }
 
 pub(super) fn broken(outcome: Outcome) -> Refusal {
-    lost(
+    without_retry_after(
         RefusalReason::Broken,
         outcome,
-        "the connection broke and the answer was lost",
+        "the connection broke before the answer was received",
     )
 }
 
 pub(super) fn timed_out(outcome: Outcome) -> Refusal {
-    lost(
+    without_retry_after(
         RefusalReason::Deadline,
         outcome,
-        "the time allowed ran out before the answer",
+        "the deadline passed before the answer was received",
     )
 }
 
-fn lost(reason: RefusalReason, outcome: Outcome, detail: &str) -> Refusal {
+fn without_retry_after(reason: RefusalReason, outcome: Outcome, detail: &str) -> Refusal {
     Refusal {
         reason,
         outcome,
@@ -86,7 +86,7 @@
     Refusal {
         reason,
         outcome: Outcome::NotRun,
-        retry_after: Some(COME_BACK),
+        retry_after: Some(DEFAULT_RETRY_AFTER),
         detail: String::from(detail),
     }
 }
--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -42,7 +42,8 @@
     "the caller exceeds the rate limit that its intent sets",
 );
 
-/// Queues or refuses work that arrived from another node or from this one, and runs what has room.
+/// Queues or refuses work that arrived from another node or from this one, and runs what has
+/// room.
 pub(super) fn on_arrived(
     board: &mut Blackboard,
     now: Moment,
@@ -135,7 +136,8 @@
     refuse(board, id, &work, GATE_FULL, out);
 }
 
-/// Refuses work whose deadline passed in the queue; does nothing if the policy disables the gate.
+/// Refuses work whose deadline passed in the queue; does nothing if the policy disables the
+/// gate.
 pub(super) fn refuse_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     if !board.settings.policy.has_gate {
         return;
--- a/crates/kumquatquay-core/src/gate/answer.rs
+++ b/crates/kumquatquay-core/src/gate/answer.rs
@@ -41,8 +41,8 @@
     });
 }
 
-/// Creates the answer context of work that was forwarded to the backend server, with the attempts
-/// and service levels that its ledger has collected.
+/// Creates the answer context of work that was forwarded to the backend server, with the
+/// attempts and service levels that its ledger has collected.
 pub(super) fn answer(
     board: &Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/gate/caller_limits.rs
+++ b/crates/kumquatquay-core/src/gate/caller_limits.rs
@@ -17,8 +17,8 @@
 
 /// Token buckets of the callers that have a limit.
 ///
-/// Each of the `n` gates of a service admits `1/n` of the limit, and entry nodes spread the calls
-/// of such callers evenly over all gates, so that the gates need no coordination. See
+/// Each of the `n` gates of a service admits `1/n` of the limit, and entry nodes spread the
+/// calls of such callers evenly over all gates, so that the gates need no coordination. See
 /// `docs/design/overload.md` for how far the limit can be exceeded.
 #[derive(Debug)]
 pub(crate) struct CallerLimits {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Takes a token of the caller, if one is left; `share_per_s` is this gate's share of its limit.
+    /// Takes a token of the caller, if one is left; `share_per_s` is this gate's share of its
+    /// limit.
     pub(crate) fn try_admit(&mut self, now: Duration, caller: &str, share_per_s: f64) -> bool {
         let mut hasher = DefaultHasher::new();
         (self.seed, caller).hash(&mut hasher);
--- a/crates/kumquatquay-core/src/gate/concurrency_limit.rs
+++ b/crates/kumquatquay-core/src/gate/concurrency_limit.rs
@@ -7,8 +7,8 @@
 
 /// Answers at which a window ends.
 ///
-/// The standard deviation of run times is often as large as their mean. With 100 answers the mean
-/// is accurate to 10 %, and about one in a hundred trials that gain nothing succeeds by
+/// The standard deviation of run times is often as large as their mean. With 100 answers the
+/// mean is accurate to 10 %, and about one in a hundred trials that gain nothing succeeds by
 /// chance.
 const TARGET_ANSWERS_COUNT: u32 = 100;
 
@@ -29,8 +29,8 @@
 /// Weight of a window with a higher latency in the best latency.
 const BEST_INCREASE_WEIGHT: f64 = 0.001;
 
-/// Weight of a window with a lower latency in the best latency; below 1, because a window can be
-/// fast by chance.
+/// Weight of a window with a lower latency in the best latency; below 1, because a window can
+/// be fast by chance.
 const BEST_DECREASE_WEIGHT: f64 = 0.3;
 
 /// Limit during a trial, as a share of the limit before it.
@@ -73,13 +73,13 @@
 
 /// Adaptive limit of the work that runs concurrently, at most the announced slots.
 ///
-/// High latency alone does not show whether the backend server has too much concurrent work or has
-/// become slow in general; in the second case a lower limit only reduces throughput. Therefore high
-/// latency starts a trial: the limit is lowered for one window, and stays lower only if throughput
-/// is kept. Throughput is computed as limit divided by latency (Little's law), which needs far
-/// fewer answers for the same accuracy than counting them. When the backend server refuses work, the
-/// limit is lowered at once. The time that work waits for its own outgoing calls does not count as
-/// latency.
+/// High latency alone does not show whether the backend server has too much concurrent work or
+/// has become slow in general; in the second case a lower limit only reduces throughput.
+/// Therefore high latency starts a trial: the limit is lowered for one window, and stays lower
+/// only if throughput is kept. Throughput is computed as limit divided by latency (Little's
+/// law), which needs far fewer answers for the same accuracy than counting them. When the
+/// backend server refuses work, the limit is lowered at once. The time that work waits for its
+/// own outgoing calls does not count as latency.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     slots_count: usize,
@@ -127,8 +127,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    /// Start of the trial. Work that was started earlier doesn't count: it was delayed by the load
-    /// under the previous limit.
+    /// Start of the trial. Work that was started earlier doesn't count: it was delayed by the
+    /// load under the previous limit.
     started_after: Duration,
     limit_before: f64,
     latency_before_s: f64,
@@ -144,7 +144,8 @@
 }
 
 impl ConcurrencyLimit {
-    /// Sets the slots that the backend server announced; if they changed, resets the limit to them.
+    /// Sets the slots that the backend server announced; if they changed, resets the limit to
+    /// them.
     pub(crate) fn set_slots_count(&mut self, slots_count: usize) {
         if slots_count == self.slots_count {
             return;
@@ -172,8 +173,8 @@
         self.mean_run_time_s
     }
 
-    /// Records an answer to work that was started at `started`; `own_latency` is its run time less
-    /// the time that it waited for its own outgoing calls.
+    /// Records an answer to work that was started at `started`; `own_latency` is its run time
+    /// less the time that it waited for its own outgoing calls.
     pub(crate) fn on_answered(
         &mut self,
         started: Duration,
@@ -203,8 +204,8 @@
         latencies.record(own_latency);
     }
 
-    /// Whether latency is about as high at low load. The backend server is then slow in general and
-    /// a lower limit would only reduce throughput.
+    /// Whether latency is about as high at low load. The backend server is then slow in general
+    /// and a lower limit would only reduce throughput.
     fn is_slow_at_low_load(&self) -> bool {
         let has_enough_answers = self.low_load.count >= MIN_LOW_LOAD_ANSWERS_COUNT;
         has_enough_answers
@@ -216,8 +217,8 @@
         self.window.is_saturated = true;
     }
 
-    /// Lowers the limit below the present concurrency, because the backend server did not accept work
-    /// while `others_count` others were running.
+    /// Lowers the limit below the present concurrency, because the backend server did not
+    /// accept work while `others_count` others were running.
     pub(crate) fn on_backend_refused(&mut self, others_count: usize) {
         self.window.is_refused = true;
         self.limit = self.limit.min(others_count as f64).max(self.min_limit());
--- a/crates/kumquatquay-core/src/gate/controller.rs
+++ b/crates/kumquatquay-core/src/gate/controller.rs
@@ -159,8 +159,8 @@
 
 /// Whether the result is a failure, which the sender may retry.
 ///
-/// The ledger of failed work is removed at once: calls that the backend server still makes for it
-/// would add to those of the retry.
+/// The ledger of failed work is removed at once: calls that the backend server still makes for
+/// it would add to those of the retry.
 fn is_failure(result: WorkResult) -> bool {
     match result {
         WorkResult::Answered { status, .. } => status >= MIN_FAILURE_STATUS,
@@ -170,9 +170,9 @@
 
 /// Returns the outcome that is certain from the result.
 ///
-/// `NotRun` is reported only if nothing was sent to the backend server or its answer says so by the
-/// documented statement. A 503 without that statement may come from a backend server that ran the
-/// request and failed.
+/// `NotRun` is reported only if nothing was sent to the backend server or its answer says so by
+/// the documented statement. A 503 without that statement may come from a backend server that
+/// ran the request and failed.
 fn outcome_of(result: WorkResult) -> Outcome {
     match result {
         WorkResult::Answered {
@@ -202,8 +202,8 @@
 /// Handles that the sender has disconnected or has cancelled the work.
 ///
 /// Queued work is removed. Running work is cancelled only if it is idempotent: a non-idempotent
-/// operation that is half done can't be undone, so it runs to its end and occupies its slot until
-/// then.
+/// operation that is half done can't be undone, so it runs to its end and occupies its slot
+/// until then.
 fn on_cancelled(board: &mut Blackboard, now: Moment, id: WorkId, out: &mut Vec<Output>) {
     if board.gate.queue.remove(id).is_some() {
         board.counters.add(Counter::WorkCancelled);
