--- a/crates/kumquatquay-cli/tests/commands/fake_node.rs
+++ b/crates/kumquatquay-cli/tests/commands/fake_node.rs
@@ -132,7 +132,7 @@
 
     fn tick(&mut self, count: u32) {
         for _ in 0..count {
-            self.now += Node::TICK;
+            self.now += Node::TICK_INTERVAL;
             self.feed(Input::Tick);
         }
     }
--- a/crates/kumquatquay-core/src/call/arrival.rs
+++ b/crates/kumquatquay-core/src/call/arrival.rs
@@ -44,7 +44,7 @@
     arrived: CallArrived,
     out: &mut Vec<Output>,
 ) {
-    board.counters.add(Counter::CallsArrived);
+    board.counters.increment(Counter::CallsArrived);
     let id = arrived.call;
     if board.calls.is_full() || board.overload.ledgers.is_full() {
         refuse_unregistered(board, id, refusals::node_full(), out);
@@ -165,7 +165,7 @@
             match found {
                 Some(token) => inherit_from_existing_ledger(board, token),
                 None => {
-                    board.counters.add(Counter::OrphanCalls);
+                    board.counters.increment(Counter::OrphanCalls);
                     let ledger = orphan_ledger(board, trace.unwrap_or_default());
                     inherit_from_new_ledger(board, ledger, false)
                 }
@@ -277,7 +277,7 @@
     let importance = call.importance;
     let overloaded =
         overload::refusing_service(board, now.monotonic, call.service, call.route, importance)?;
-    board.counters.add(Counter::CallsRefusedAtEntry);
+    board.counters.increment(Counter::CallsRefusedAtEntry);
     let overloaded = board.overload.services.get(overloaded);
     let level = overload::highest_level(overloaded);
     let retry_after = overload::retry_after(&mut board.random, level, importance);
--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -170,7 +170,7 @@
         }
     }
     if !is_first {
-        board.counters.add(Counter::Retries);
+        board.counters.increment(Counter::Retries);
     }
     let Some(ledger) = board.overload.ledgers.get_mut(call.ledger) else {
         return is_first || !policy.has_retry_allowance;
--- a/crates/kumquatquay-core/src/call/ending.rs
+++ b/crates/kumquatquay-core/src/call/ending.rs
@@ -35,7 +35,7 @@
 ) {
     let id = ended.call;
     let Some(attempt) = take_attempt(board, &ended) else {
-        board.counters.add(Counter::AnswersIgnored);
+        board.counters.increment(Counter::AnswersIgnored);
         return;
     };
     let answer = answer_context_of(&ended, &attempt).cloned();
@@ -279,7 +279,7 @@
     }
     let policy = board.settings.policy;
     if !policy.has_retry_allowance {
-        let has_attempt_left = call.tried.len() < usize::from(policy.tries_count);
+        let has_attempt_left = call.tried.len() < usize::from(policy.attempts_count);
         return has_attempt_left.then(RetryCost::default);
     }
     let ledger = board.overload.ledgers.get(call.ledger)?;
@@ -376,7 +376,7 @@
     refusal: Refusal,
     out: &mut Vec<Output>,
 ) {
-    board.counters.add(Counter::CallsRefused);
+    board.counters.increment(Counter::CallsRefused);
     let ending = CallEnding::Refuse(refusal);
     out.push(Output::FinishCall { call, ending });
 }
@@ -397,7 +397,7 @@
         CallEnding::Refuse(_) => Counter::CallsRefused,
         CallEnding::PassAnswer { .. } | CallEnding::Replay(_) => Counter::CallsAnswered,
     };
-    board.counters.add(counter);
+    board.counters.increment(counter);
     if let CallEnding::Refuse(refusal) = &ending {
         explain::record(board, now, RefusedCall::of(&call), refusal);
     }
@@ -470,7 +470,7 @@
         return;
     };
     call.is_abandoned = true;
-    board.counters.add(Counter::CallsAbandoned);
+    board.counters.increment(Counter::CallsAbandoned);
     let Some(attempt) = call.attempt.clone() else {
         let ending = CallEnding::Refuse(refusals::abandoned(call.outcome));
         finish(board, now, id, ending, out);
--- a/crates/kumquatquay-core/src/configuration/confirmation.rs
+++ b/crates/kumquatquay-core/src/configuration/confirmation.rs
@@ -163,7 +163,9 @@
 /// The record is appended again under the same id. Both may be in the log: the
 /// first wins, and the second is known by its id to be a repeat.
 pub(super) fn on_append_unsure(board: &mut Blackboard, now: Moment, id: ChangeId) {
-    board.counters.add(Counter::ConfigurationAppendsUnsure);
+    board
+        .counters
+        .increment(Counter::ConfigurationAppendsUnsure);
     if let Some(confirmation) = board.configuration.confirmations.get_mut(&id) {
         confirmation.append = None;
         confirmation.may_be_appended = true;
--- a/crates/kumquatquay-core/src/configuration/controller.rs
+++ b/crates/kumquatquay-core/src/configuration/controller.rs
@@ -45,7 +45,7 @@
                 confirmation::on_append_refused(board, now, id, out);
             }
         }
-        LogInput::AppendUnsure { append } => {
+        LogInput::AppendOutcomeUnknown { append } => {
             if let Some(AppendPurpose::Change(id)) = take_append(board, append) {
                 confirmation::on_append_unsure(board, now, id);
             }
--- a/crates/kumquatquay-core/src/configuration/in_force.rs
+++ b/crates/kumquatquay-core/src/configuration/in_force.rs
@@ -24,8 +24,8 @@
     let verdict = state.apply(record.offset, digest, record.appended_unix_ms, change);
     match verdict {
         Verdict::Won => on_in_force(board, now, &services, out),
-        Verdict::Repeat(_) => board.counters.add(Counter::ConfigurationRepeats),
-        Verdict::Lost => board.counters.add(Counter::ConfigurationChangesLost),
+        Verdict::Repeat(_) => board.counters.increment(Counter::ConfigurationRepeats),
+        Verdict::Lost => board.counters.increment(Counter::ConfigurationChangesLost),
     }
 }
 
@@ -108,7 +108,9 @@
     services: &[ServiceName],
     out: &mut Vec<Output>,
 ) {
-    board.counters.add(Counter::ConfigurationChangesApplied);
+    board
+        .counters
+        .increment(Counter::ConfigurationChangesApplied);
     let configuration = &mut board.configuration;
     configuration.in_force_since = now.monotonic;
     for service in services {
--- a/crates/kumquatquay-core/src/configuration/peer_fetch.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_fetch.rs
@@ -150,7 +150,9 @@
     out: &mut Vec<Output>,
 ) {
     let payload = question.to_bytes();
-    board.counters.add(Counter::ConfigurationPeerQuestions);
+    board
+        .counters
+        .increment(Counter::ConfigurationPeerQuestions);
     out.push(Output::BulkAsk {
         to,
         question: BulkQuestion::Configuration { payload }.to_bytes(),
--- a/crates/kumquatquay-core/src/configuration/reading.rs
+++ b/crates/kumquatquay-core/src/configuration/reading.rs
@@ -148,7 +148,7 @@
     if take(board, read).is_none() {
         return;
     }
-    board.counters.add(Counter::ConfigurationReadsFailed);
+    board.counters.increment(Counter::ConfigurationReadsFailed);
     let spread = board.random.random_range(0.5..1.0);
     let reader = &mut board.configuration.reader;
     let pause = FIRST_PAUSE * 2_u32.pow(reader.failures_count.min(10));
@@ -225,7 +225,7 @@
     reader.last_scanned = None;
     reader.scan_from = reader.scan_from.map(|_| 0);
     snapshot_schedule::on_log_returned(&mut board.configuration.snapshots);
-    board.counters.add(Counter::ConfigurationLogReturns);
+    board.counters.increment(Counter::ConfigurationLogReturns);
     out.push(Output::Note(Note::warn(
         "log_returned_from_copy",
         format!(
@@ -291,7 +291,7 @@
     }
     let detail = doubt.to_string();
     reader.doubt = Some(doubt);
-    board.counters.add(Counter::ConfigurationLogDoubts);
+    board.counters.increment(Counter::ConfigurationLogDoubts);
     out.push(Output::Note(Note::new(
         Severity::Error,
         "log_in_doubt",
@@ -350,7 +350,7 @@
 /// takes nothing until a snapshot or another node bridges the gap.
 fn on_gap(board: &mut Blackboard, now: Moment, answer: ReadAnswer, out: &mut Vec<Output>) {
     board.configuration.reader.is_caught_up = false;
-    board.counters.add(Counter::ConfigurationGaps);
+    board.counters.increment(Counter::ConfigurationGaps);
     out.push(Output::Note(Note::warn(
         "configuration_gap",
         format!(
--- a/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
+++ b/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
@@ -163,7 +163,9 @@
     configuration
         .appends
         .insert(append, AppendPurpose::Snapshot);
-    board.counters.add(Counter::ConfigurationSnapshotsAppended);
+    board
+        .counters
+        .increment(Counter::ConfigurationSnapshotsAppended);
     let detail = format!(
         "the state is appended to the log again, {} bytes",
         record.len()
--- a/crates/kumquatquay-core/src/counters.rs
+++ b/crates/kumquatquay-core/src/counters.rs
@@ -153,7 +153,7 @@
 
 impl Counters {
     /// Counts one more.
-    pub fn add(&mut self, counter: Counter) {
+    pub fn increment(&mut self, counter: Counter) {
         let place = counter as usize;
         if self.counts.len() <= place {
             self.counts.resize(place + 1, None);
--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -51,7 +51,7 @@
     context: RequestContext,
     out: &mut Vec<Output>,
 ) {
-    board.counters.add(Counter::WorkArrived);
+    board.counters.increment(Counter::WorkArrived);
     let remaining = Duration::from_millis(u64::from(context.remaining_ms));
     let work = Work {
         context,
@@ -148,7 +148,7 @@
 }
 
 fn refuse_expired_work(board: &mut Blackboard, id: WorkId, work: &Work, out: &mut Vec<Output>) {
-    board.counters.add(Counter::WorkExpired);
+    board.counters.increment(Counter::WorkExpired);
     board.gate.level_controller.on_refused(work.importance());
     refuse(board, id, work, DEADLINE_EXCEEDED, out);
 }
--- a/crates/kumquatquay-core/src/gate/answer.rs
+++ b/crates/kumquatquay-core/src/gate/answer.rs
@@ -21,7 +21,7 @@
     (reason, detail): (RefusalReason, &str),
     out: &mut Vec<Output>,
 ) {
-    board.counters.add(Counter::WorkRefused);
+    board.counters.increment(Counter::WorkRefused);
     let level = board.gate.level_controller.level();
     let retry_after = overload::retry_after(&mut board.random, level, work.importance());
     let refusal = Refusal {
--- a/crates/kumquatquay-core/src/gate/controller.rs
+++ b/crates/kumquatquay-core/src/gate/controller.rs
@@ -206,7 +206,7 @@
 /// until then.
 fn on_cancelled(board: &mut Blackboard, now: Moment, id: WorkId, out: &mut Vec<Output>) {
     if board.gate.queue.remove(id).is_some() {
-        board.counters.add(Counter::WorkCancelled);
+        board.counters.increment(Counter::WorkCancelled);
         return;
     }
     let Some(running) = board.gate.running.get(&id) else {
@@ -215,7 +215,7 @@
     if !running.work.context.is_idempotent {
         return;
     }
-    board.counters.add(Counter::WorkCancelled);
+    board.counters.increment(Counter::WorkCancelled);
     out.push(Output::CancelWork { work: id });
     let calls = remove_work(board, id);
     call::cancel_for_work(board, now, &calls, out);
--- a/crates/kumquatquay-core/src/input/log_input.rs
+++ b/crates/kumquatquay-core/src/input/log_input.rs
@@ -20,7 +20,7 @@
         append: AppendId,
     },
     /// The answer was lost: the append may have taken effect or may yet.
-    AppendUnsure {
+    AppendOutcomeUnknown {
         /// The append.
         append: AppendId,
     },
--- a/crates/kumquatquay-core/src/input/mod.rs
+++ b/crates/kumquatquay-core/src/input/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, From)]
 pub enum Input {
     /// Time passed; the host sends it again after
-    /// [`Node::next_tick`](crate::Node::next_tick) at the latest.
+    /// [`Node::tick_interval`](crate::Node::tick_interval) at the latest.
     #[from(skip)]
     Tick,
     /// The host was asked to stop: no new work from now on, and
--- a/crates/kumquatquay-core/src/membership/bulk_sync.rs
+++ b/crates/kumquatquay-core/src/membership/bulk_sync.rs
@@ -162,7 +162,7 @@
 }
 
 fn ask(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
-    board.counters.add(Counter::TablesAsked);
+    board.counters.increment(Counter::TablesAsked);
     let sync = &mut board.membership.sync;
     sync.asked_until = Some(now.monotonic + ANSWER_TIMEOUT);
     sync.next_question = now.monotonic + sync.pause;
@@ -211,7 +211,7 @@
             payload: configuration::on_bulk_question(board, &payload),
         },
         Err(_) => {
-            board.counters.add(Counter::BulkMalformed);
+            board.counters.increment(Counter::BulkMalformed);
             BulkAnswer::Members {
                 data_centres: Vec::new(),
             }
@@ -276,7 +276,7 @@
             configuration::on_bulk_answer(board, now, from, &payload, out);
         }
         Err(_) => {
-            board.counters.add(Counter::BulkMalformed);
+            board.counters.increment(Counter::BulkMalformed);
             board.membership.sync.asked_until = None;
         }
     }
--- a/crates/kumquatquay-core/src/membership/controller.rs
+++ b/crates/kumquatquay-core/src/membership/controller.rs
@@ -203,11 +203,11 @@
     match freshness {
         Freshness::Fresh => true,
         Freshness::Replayed => {
-            board.counters.add(Counter::DatagramsReplayed);
+            board.counters.increment(Counter::DatagramsReplayed);
             false
         }
         Freshness::OldIncarnation => {
-            board.counters.add(Counter::DatagramsOld);
+            board.counters.increment(Counter::DatagramsOld);
             tell_incarnation(board, now, from, out);
             false
         }
--- a/crates/kumquatquay-core/src/membership/leaving.rs
+++ b/crates/kumquatquay-core/src/membership/leaving.rs
@@ -100,7 +100,7 @@
     merge::change_own(board, now, |own| own.state = MemberState::Gone);
     say_goodbye(board, now, out);
     out.push(Output::StopNow {
-        cut_count: under_way_count,
+        aborted_count: under_way_count,
     });
 }
 
--- a/crates/kumquatquay-core/src/membership/merge.rs
+++ b/crates/kumquatquay-core/src/membership/merge.rs
@@ -182,7 +182,7 @@
     let is_current = (record.incarnation, record.revision) == (own.incarnation, own.revision);
     let is_doubted = record.is_suspect || record.state == MemberState::Gone;
     if is_current && is_doubted && own.state != MemberState::Gone {
-        board.counters.add(Counter::SuspicionsRefuted);
+        board.counters.increment(Counter::SuspicionsRefuted);
         change_own(board, now, |_| {});
     }
 }
--- a/crates/kumquatquay-core/src/membership/prober.rs
+++ b/crates/kumquatquay-core/src/membership/prober.rs
@@ -230,7 +230,7 @@
         .prober
         .remember(probe.target, now.monotonic, probe.is_answered);
     if !probe.is_answered {
-        board.counters.add(Counter::ProbesFailed);
+        board.counters.increment(Counter::ProbesFailed);
         suspicion::suspect(board, now, probe.target, out);
     }
 }
--- a/crates/kumquatquay-core/src/membership/seed_log.rs
+++ b/crates/kumquatquay-core/src/membership/seed_log.rs
@@ -77,7 +77,7 @@
         LogInput::Read { read, .. } | LogInput::ReadFailed { read } => seeds.read == Some(*read),
         LogInput::Appended { append, .. }
         | LogInput::AppendRefused { append }
-        | LogInput::AppendUnsure { append } => seeds.append == Some(*append),
+        | LogInput::AppendOutcomeUnknown { append } => seeds.append == Some(*append),
     }
 }
 
@@ -105,7 +105,7 @@
         // A lost or doubled record does no harm: the next one is on its way.
         LogInput::Appended { .. }
         | LogInput::AppendRefused { .. }
-        | LogInput::AppendUnsure { .. } => seeds.append = None,
+        | LogInput::AppendOutcomeUnknown { .. } => seeds.append = None,
     }
 }
 
--- a/crates/kumquatquay-core/src/membership/suspicion.rs
+++ b/crates/kumquatquay-core/src/membership/suspicion.rs
@@ -161,7 +161,7 @@
 }
 
 fn begin_hold(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    board.counters.add(Counter::MassSilences);
+    board.counters.increment(Counter::MassSilences);
     board.membership.suspicions.hold = Some(Hold {
         began: now.monotonic,
         calm_since: None,
@@ -192,7 +192,7 @@
         record.state = MemberState::Gone;
         let detail = format!("{control} did not answer and did not refute");
         out.push(Output::Note(Note::info("member_gone", detail)));
-        board.counters.add(Counter::MembersDeclaredGone);
+        board.counters.increment(Counter::MembersDeclaredGone);
         merge::on_record(board, now, record, out);
     }
 }
--- a/crates/kumquatquay-core/src/node.rs
+++ b/crates/kumquatquay-core/src/node.rs
@@ -38,10 +38,10 @@
 
 impl Node {
     /// How often the host sends [`Input::Tick`] while work waits at the gate.
-    pub const TICK: Duration = Duration::from_millis(10);
+    pub const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
     /// How often the host sends [`Input::Tick`] otherwise.
-    pub const IDLE_TICK: Duration = Duration::from_millis(50);
+    pub const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
     /// The longest answer that is kept for resends of an operation, in bytes.
     pub const STORED_ANSWER_LIMIT_BYTES: usize = 64 * 1024;
@@ -104,12 +104,12 @@
     ///
     /// Only work that waits needs short ticks, for its deadline; everything else
     /// that ticks do has intervals of 100 ms and more. A host that always ticks
-    /// every [`Node::TICK`] gets the same decisions for more processor time.
-    pub fn next_tick(&self) -> Duration {
+    /// every [`Node::TICK_INTERVAL`] gets the same decisions for more processor time.
+    pub fn tick_interval(&self) -> Duration {
         if self.board.gate.queued_count() > 0 {
-            Self::TICK
+            Self::TICK_INTERVAL
         } else {
-            Self::IDLE_TICK
+            Self::IDLE_TICK_INTERVAL
         }
     }
 
@@ -119,8 +119,8 @@
     }
 
     /// Counts something that the host saw and the node did not.
-    pub fn count(&mut self, counter: Counter) {
-        self.board.counters.add(counter);
+    pub fn increment(&mut self, counter: Counter) {
+        self.board.counters.increment(counter);
     }
 
     /// What the node knows of one member, itself included.
@@ -136,7 +136,7 @@
 
     /// When the state of any member last changed here; hosts that keep tables of
     /// their own over the members build them anew when it does.
-    pub fn members_changed(&self) -> Duration {
+    pub fn members_changed_at(&self) -> Duration {
         self.board.members.changed()
     }
 
--- a/crates/kumquatquay-core/src/operations/claim_decision.rs
+++ b/crates/kumquatquay-core/src/operations/claim_decision.rs
@@ -110,7 +110,7 @@
             key: claim.key,
         });
     }
-    board.counters.add(Counter::ClaimsGivenUp);
+    board.counters.increment(Counter::ClaimsGivenUp);
 }
 
 /// Another claim holds the key: the calls that wait look it up again and are
--- a/crates/kumquatquay-core/src/operations/claims.rs
+++ b/crates/kumquatquay-core/src/operations/claims.rs
@@ -148,7 +148,7 @@
 fn append(board: &mut Blackboard, id: PartitionId, out: &mut Vec<Output>) {
     let append: AppendId = board.next_id();
     board.operations.exchanges.insert(append, id);
-    board.counters.add(Counter::ClaimAppends);
+    board.counters.increment(Counter::ClaimAppends);
     let key = board.settings.key.clone();
     let partition = partition_mut(board, id);
     partition.exchange = Exchange::Appending;
@@ -168,7 +168,7 @@
     match input {
         LogInput::Appended { offset, .. } => on_appended(board, id, offset),
         LogInput::AppendRefused { .. } => on_append_refused(board, now, id, out),
-        LogInput::AppendUnsure { .. } => on_append_unsure(board, now, id, out),
+        LogInput::AppendOutcomeUnknown { .. } => on_append_unsure(board, now, id, out),
         LogInput::ReadFailed { .. } => on_failure(board, now, id, out),
         LogInput::Read { era, .. } if board.operations.log_eras.is_past(era) => {
             on_failure(board, now, id, out);
@@ -196,7 +196,7 @@
     match input {
         LogInput::Appended { append, .. }
         | LogInput::AppendRefused { append }
-        | LogInput::AppendUnsure { append } => *append,
+        | LogInput::AppendOutcomeUnknown { append } => *append,
         LogInput::Read { read, .. } | LogInput::ReadFailed { read } => *read,
     }
 }
--- a/crates/kumquatquay-core/src/operations/controller.rs
+++ b/crates/kumquatquay-core/src/operations/controller.rs
@@ -55,7 +55,7 @@
         step_of_key(board, now, call, out)
     };
     match step {
-        OperationStep::SendHome(_) => board.counters.add(Counter::OperationsForwarded),
+        OperationStep::SendHome(_) => board.counters.increment(Counter::OperationsForwarded),
         OperationStep::Wait => board.operations.watch(call.call, call.deadline.monotonic),
         OperationStep::Proceed | OperationStep::Finish(_) => {}
     }
@@ -324,7 +324,7 @@
     asked: IssueOperation,
     out: &mut Vec<Output>,
 ) {
-    board.counters.add(Counter::OperationsIssued);
+    board.counters.increment(Counter::OperationsIssued);
     let expires_unix_ms = now.plus(OPERATION_LIFETIME).unix_ms();
     let sequence = board.operations.memory.next_sequence();
     let id = IssuedId {
--- a/crates/kumquatquay-core/src/operations/home.rs
+++ b/crates/kumquatquay-core/src/operations/home.rs
@@ -85,7 +85,7 @@
         }
         OperationState::Ran(Some(answer)) if known.is_body_known => {
             let answer = answer.clone();
-            board.counters.add(Counter::OperationsReplayed);
+            board.counters.increment(Counter::OperationsReplayed);
             OperationStep::Finish(CallEnding::Replay(answer))
         }
         OperationState::Ran(_) => OperationStep::Finish(refusals::no_answer_kept()),
@@ -116,7 +116,7 @@
     };
     if operation.state == OperationState::Reserved(call) {
         operation.state = OperationState::HandedOver(call);
-        board.counters.add(Counter::OperationsHandedOver);
+        board.counters.increment(Counter::OperationsHandedOver);
     }
 }
 
--- a/crates/kumquatquay-core/src/output/mod.rs
+++ b/crates/kumquatquay-core/src/output/mod.rs
@@ -107,7 +107,7 @@
     StopNow {
         /// Calls and work that are still under way since the grace ran out;
         /// 0 after a clean stop.
-        cut_count: usize,
+        aborted_count: usize,
     },
     /// Answer an operator.
     Operator(OperatorOutput),
--- a/crates/kumquatquay-core/src/overload/load_balancing.rs
+++ b/crates/kumquatquay-core/src/overload/load_balancing.rs
@@ -266,5 +266,7 @@
     }
     service.ejected.push((peer, endpoint.eject(now)));
     service.outliers.retain(|outlier| *outlier != peer);
-    board.counters.add(crate::Counter::BackendServersEjected);
+    board
+        .counters
+        .increment(crate::Counter::BackendServersEjected);
 }
--- a/crates/kumquatquay-core/src/policy.rs
+++ b/crates/kumquatquay-core/src/policy.rs
@@ -6,7 +6,7 @@
 const DEFAULT_ALLOWANCE_COUNT: u16 = 3;
 
 /// Tries that a node without a retry allowance makes for each call.
-const UNCONTROLLED_TRIES_COUNT: u16 = 3;
+const UNCONTROLLED_ATTEMPTS_COUNT: u16 = 3;
 
 /// Controls of a node, for experiments that run arms side by side.
 ///
@@ -28,14 +28,14 @@
     /// Whether levels are set, told and obeyed.
     pub has_levels: bool,
     /// Whether retries are bounded by the allowance of the whole request;
-    /// otherwise each layer tries up to [`Policy::tries_count`] times.
+    /// otherwise each layer tries up to [`Policy::attempts_count`] times.
     pub has_retry_allowance: bool,
     /// Retries granted to one whole request at its entry.
     pub allowance_count: u16,
     /// How much of the retries goes with each call.
     pub allowance_split: AllowanceSplit,
     /// Tries of one call where there is no retry allowance.
-    pub tries_count: u16,
+    pub attempts_count: u16,
     /// How strictly operations are decided.
     pub operations: OperationPolicy,
 }
@@ -49,7 +49,7 @@
             has_retry_allowance: false,
             allowance_count: DEFAULT_ALLOWANCE_COUNT,
             allowance_split: AllowanceSplit::Half,
-            tries_count: UNCONTROLLED_TRIES_COUNT,
+            attempts_count: UNCONTROLLED_ATTEMPTS_COUNT,
             operations: OperationPolicy::strict(),
         }
     }
--- a/crates/kumquatquay-core/src/quarantine/controller.rs
+++ b/crates/kumquatquay-core/src/quarantine/controller.rs
@@ -176,7 +176,7 @@
         Verdict::Isolate => {
             board.quarantine.running_suspects.insert(work, fingerprint);
         }
-        Verdict::Refuse(_) => board.counters.add(Counter::QuarantineRefusals),
+        Verdict::Refuse(_) => board.counters.increment(Counter::QuarantineRefusals),
         Verdict::Admit => {}
     }
     verdict
@@ -265,7 +265,7 @@
     if new.is_empty() && !in_flight.is_empty() {
         return;
     }
-    board.counters.add(Counter::BackendDeaths);
+    board.counters.increment(Counter::BackendDeaths);
     let table = &mut board.quarantine;
     table
         .counted_work
--- a/crates/kumquatquay-core/tests/configuration/exploration.rs
+++ b/crates/kumquatquay-core/tests/configuration/exploration.rs
@@ -200,7 +200,9 @@
     /// What the host says of an append whose answer was lost.
     fn lost(&self, append: u64) -> LogInput {
         match self.fault {
-            HostFault::None | HostFault::AcceptsWithoutReading => LogInput::AppendUnsure { append },
+            HostFault::None | HostFault::AcceptsWithoutReading => {
+                LogInput::AppendOutcomeUnknown { append }
+            }
             HostFault::ReportsLossAsRefusal => LogInput::AppendRefused { append },
         }
     }
--- a/crates/kumquatquay-core/tests/configuration/mesh.rs
+++ b/crates/kumquatquay-core/tests/configuration/mesh.rs
@@ -142,7 +142,7 @@
 
     /// Lets one tick pass.
     pub(crate) fn step(&mut self) {
-        self.now += Node::TICK;
+        self.now += Node::TICK_INTERVAL;
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > self.now {
                 break;
@@ -208,14 +208,14 @@
                 },
                 AppendFault::LostAnswer => {
                     self.log.append(unix_ms, record);
-                    LogInput::AppendUnsure { append }
+                    LogInput::AppendOutcomeUnknown { append }
                 }
                 AppendFault::DownAfterRecord => {
                     self.log.append(unix_ms, record);
                     self.log.is_down = true;
-                    LogInput::AppendUnsure { append }
+                    LogInput::AppendOutcomeUnknown { append }
                 }
-                AppendFault::LostRecord => LogInput::AppendUnsure { append },
+                AppendFault::LostRecord => LogInput::AppendOutcomeUnknown { append },
             }
         };
         self.post(name, self.log.delay, Event::Input(input.into()));
--- a/crates/kumquatquay-core/tests/leaving.rs
+++ b/crates/kumquatquay-core/tests/leaving.rs
@@ -59,7 +59,7 @@
     fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
-            self.now += Node::TICK;
+            self.now += Node::TICK_INTERVAL;
             self.handle(Input::Tick);
         }
     }
@@ -97,7 +97,7 @@
 
     fn stopped(&self) -> Option<usize> {
         self.outputs.iter().find_map(|output| match output {
-            Output::StopNow { cut_count } => Some(*cut_count),
+            Output::StopNow { aborted_count } => Some(*aborted_count),
             _ => None,
         })
     }
--- a/crates/kumquatquay-core/tests/operations/properties.rs
+++ b/crates/kumquatquay-core/tests/operations/properties.rs
@@ -219,7 +219,7 @@
             append: 99,
             offset: 7,
         },
-        LogInput::AppendUnsure { append: 99 },
+        LogInput::AppendOutcomeUnknown { append: 99 },
         LogInput::Read {
             read: 99,
             stream: String::from("claims-1"),
--- a/crates/kumquatquay-core/tests/operations/support/mesh.rs
+++ b/crates/kumquatquay-core/tests/operations/support/mesh.rs
@@ -576,13 +576,13 @@
             }
             LogMode::LosesAnswers => {
                 self.log.append(stream, now, record);
-                LogInput::AppendUnsure { append }
+                LogInput::AppendOutcomeUnknown { append }
             }
             LogMode::Down => LogInput::AppendRefused { append },
-            LogMode::Silent => LogInput::AppendUnsure { append },
+            LogMode::Silent => LogInput::AppendOutcomeUnknown { append },
             LogMode::Delays => {
                 self.delayed.push((String::from(stream), record));
-                LogInput::AppendUnsure { append }
+                LogInput::AppendOutcomeUnknown { append }
             }
         };
         self.pending.push(Event::LogAnswer { to: from, input });
--- a/crates/kumquatquay-core/tests/overload/mesh.rs
+++ b/crates/kumquatquay-core/tests/overload/mesh.rs
@@ -295,7 +295,7 @@
                 for host in 0..self.hosts.len() {
                     self.feed(host, Input::Tick);
                 }
-                self.schedule(Node::TICK, Event::Tick);
+                self.schedule(Node::TICK_INTERVAL, Event::Tick);
             }
             Event::Client { clients } => self.on_client(clients),
             Event::Resend {
--- a/crates/kumquatquay-core/tests/overload/step_script.rs
+++ b/crates/kumquatquay-core/tests/overload/step_script.rs
@@ -386,7 +386,7 @@
         let names: Vec<_> = self.nodes.keys().cloned().collect();
         let mut text = String::new();
         while self.elapsed < end {
-            self.elapsed = (self.elapsed + Node::TICK).min(end);
+            self.elapsed = (self.elapsed + Node::TICK_INTERVAL).min(end);
             for name in &names {
                 text += &self.feed_quietly(name, Input::Tick);
             }
--- a/crates/kumquatquay-core/tests/support/mesh.rs
+++ b/crates/kumquatquay-core/tests/support/mesh.rs
@@ -1,6 +1,6 @@
 //! A few nodes on a virtual clock, wired by a queue of messages.
 //!
-//! Time passes in steps of [`Node::TICK`]. Datagrams are sealed, encoded, decoded
+//! Time passes in steps of [`Node::TICK_INTERVAL`]. Datagrams are sealed, encoded, decoded
 //! and checked as in the daemon, and may be lost, delayed, cut off or sent again.
 
 use std::{
@@ -182,7 +182,7 @@
 
     /// Lets one tick pass.
     pub(crate) fn step(&mut self) {
-        let next = self.now + Node::TICK;
+        let next = self.now + Node::TICK_INTERVAL;
         while let Some(entry) = self.queue.first_entry()
             && entry.key().0 <= next
         {
@@ -296,7 +296,7 @@
                 self.enqueue(wait + FAR_DELAY, Message::LogAnswer { to: from, answer });
             }
             Output::Note(note) => host.notes.push(note),
-            Output::StopNow { cut_count } => host.stopped = Some(cut_count),
+            Output::StopNow { aborted_count } => host.stopped = Some(aborted_count),
             _ => {}
         }
     }
--- a/crates/kumquatquayd/src/engine/engine.rs
+++ b/crates/kumquatquayd/src/engine/engine.rs
@@ -99,8 +99,8 @@
                     let _ = waiter.send(issued);
                 }
             }
-            Output::StopNow { cut_count } => {
-                self.stopped.send_replace(Some(cut_count));
+            Output::StopNow { aborted_count } => {
+                self.stopped.send_replace(Some(aborted_count));
             }
             Output::RunWork(run) => waiters.tell_work(run.work, WorkEvent::Run(run)),
             Output::RefuseWork {
@@ -157,7 +157,7 @@
     pub(crate) fn tick(&self) -> Duration {
         let mut inner = self.lock();
         self.handle_in(&mut inner, Input::Tick);
-        inner.node.next_tick()
+        inner.node.tick_interval()
     }
 
     // Waiting
@@ -212,8 +212,8 @@
     /// Waits until the node may stop; returns the flights that are cut off.
     pub(crate) async fn stopped(&self) -> usize {
         let mut stopped = self.stopped.subscribe();
-        let cut_count = stopped.wait_for(Option::is_some).await;
-        cut_count.map_or(0, |count| count.unwrap_or_default())
+        let aborted_count = stopped.wait_for(Option::is_some).await;
+        aborted_count.map_or(0, |count| count.unwrap_or_default())
     }
 
     /// Registers a bulk question of another node.
@@ -254,7 +254,7 @@
 
     /// When the state of any member last changed.
     pub(crate) fn members_changed(&self) -> Duration {
-        self.lock().node.members_changed()
+        self.lock().node.members_changed_at()
     }
 
     /// Reads the clock that the node is fed from.
@@ -264,7 +264,7 @@
 
     /// Counts something that the listeners saw and the core did not.
     pub(crate) fn count(&self, counter: Counter) {
-        self.lock().node.count(counter);
+        self.lock().node.increment(counter);
     }
 
     // Connections
--- a/crates/kumquatquayd/src/platform/log_client.rs
+++ b/crates/kumquatquayd/src/platform/log_client.rs
@@ -87,11 +87,11 @@
                 Ok(response) => append_result(append, response).await,
                 // Nothing was handed over if there was no connection.
                 Err(error) if error.is_connect() => LogInput::AppendRefused { append },
-                Err(_) => LogInput::AppendUnsure { append },
+                Err(_) => LogInput::AppendOutcomeUnknown { append },
             }
         };
         let answer = tokio::time::timeout(APPEND_TIMEOUT, exchange).await;
-        answer.unwrap_or(LogInput::AppendUnsure { append })
+        answer.unwrap_or(LogInput::AppendOutcomeUnknown { append })
     }
 
     /// Reads records.
@@ -201,13 +201,13 @@
             let answer = body.and_then(|body| Ok(serde_json::from_slice::<AppendAnswer>(&body)?));
             match answer {
                 Ok(AppendAnswer { offset }) => LogInput::Appended { append, offset },
-                Err(_) => LogInput::AppendUnsure { append },
+                Err(_) => LogInput::AppendOutcomeUnknown { append },
             }
         }
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             LogInput::AppendRefused { append }
         }
-        _ => LogInput::AppendUnsure { append },
+        _ => LogInput::AppendOutcomeUnknown { append },
     }
 }
 
