--- a/crates/kumquatquayd/src/routed/caller_connection.rs
+++ b/crates/kumquatquayd/src/routed/caller_connection.rs
@@ -392,7 +392,7 @@
             }
             // The HTTP library reads two requests where one was parsed here.
             Phase::Idle | Phase::Forwarding { .. } | Phase::Answering => {
-                self.disable_pipelining(state)
+                self.disable_pipelining(state);
             }
             Phase::PassThrough => {}
         }
