--- a/crates/kumquatquay-core/tests/routed/call_mesh.rs
+++ b/crates/kumquatquay-core/tests/routed/call_mesh.rs
@@ -1,4 +1,4 @@
-//! Whole requests of several kinds that make their calls at one service, in virtual time.
+//! Simulates root requests of several kinds that call one service, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -17,25 +17,25 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// The service at which all calls are made.
+/// The service that is called.
 const SERVICE: &str = "timetable";
 
-/// Time between two words on a route from one gate to one entry.
-const NEWS_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a gate sends updates of a route to an entry.
+const ROUTE_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time from one top of the wave to the next, in seconds.
+/// Period of the wave in which the load varies, in seconds.
 const WAVE_PERIOD_S: f64 = 15.0;
 
-/// Gates that are asked for one call, at most.
-const ASKED_COUNT: usize = 4;
+/// Maximum number of gates to which one call is offered.
+const MAX_OFFERS_COUNT: usize = 4;
 
-/// How long a gate is left out at least once it has refused for its limit.
-const LEFT_OUT_LEAST: Duration = Duration::from_millis(20);
+/// Minimum time for which an entry excludes a gate that has refused a call for its rate limit.
+const MIN_EXCLUSION_TIME: Duration = Duration::from_millis(20);
 
-/// How often gates set their levels.
+/// Interval at which gates update their admission levels.
 const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One kind of whole request: its calls are made one after the other, on a route of its own.
+/// A kind of root request. Its calls are made one after the other, on a route of its own.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
     pub(crate) route: &'static str,
@@ -43,39 +43,39 @@
     pub(crate) requests_per_s: f64,
     pub(crate) calls_count: u32,
     pub(crate) run_time: Duration,
-    /// Time within which its answer is worth most.
+    /// Time within which its answer has its full value.
     pub(crate) target_latency: Duration,
-    /// The same for each of its calls, as far as the gate knows.
+    /// Target latency of each of its calls, as known to the gate.
     pub(crate) call_target_latency: Duration,
-    /// Time after which it is worth nothing.
+    /// Time after which its answer is worthless.
     pub(crate) timeout: Duration,
 }
 
-/// What there is beside the requests.
+/// Settings of a simulation, apart from the requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MeshSettings {
     pub(crate) entries_count: usize,
     pub(crate) gates_count: usize,
     pub(crate) slots_count: usize,
-    /// Whether the work of calls is told apart by route.
+    /// Whether gates track the run times of calls by route.
     pub(crate) has_route_run_times: bool,
     pub(crate) order: QueueOrder,
-    /// Part of the mean load by which it goes up and down in a wave.
+    /// Amplitude of the wave in which the load varies, as a share of the mean load.
     pub(crate) swing_ratio: f64,
     pub(crate) seed: u64,
 }
 
-/// What became of the requests of one kind that came in while it was watched.
+/// Results of the requests of one kind that arrived while results were recorded.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) offered_count: u32,
     /// Refused at the entry.
     pub(crate) refused_count: u32,
-    /// Let in, and lost with one of its calls.
+    /// Admitted, but one of its calls was refused or evicted, or it timed out.
     pub(crate) lost_count: u32,
-    /// Answered, but later than is worth most.
+    /// Answered within the timeout, but after the target latency.
     pub(crate) late_count: u32,
-    /// Answered in time.
+    /// Answered within the target latency.
     pub(crate) timely_count: u32,
 }
 
@@ -84,7 +84,7 @@
         self.late_count + self.timely_count
     }
 
-    /// Share of the requests that were answered in time.
+    /// Share of the requests that were answered within the target latency.
     pub(crate) fn timely_ratio(&self) -> f64 {
         f64::from(self.timely_count) / f64::from(self.offered_count.max(1))
     }
@@ -92,26 +92,26 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A request comes in.
+    /// A request arrives.
     Request { kind: usize },
-    /// A gate has ended a call that ran for so many microseconds.
+    /// A call has ended at a gate.
     Ended {
         gate: usize,
         call: Call,
-        work_us: u64,
+        run_time_us: u64,
     },
-    /// The rate limit of a backend server allows for another call.
+    /// The rate limit of a backend server allows another call.
     Admit { gate: usize },
-    /// Levels are set.
+    /// Gates update their admission levels.
     Levels,
 }
 
-/// A call of a request that came in at an entry.
+/// A call of a request that arrived at an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Call {
     kind: usize,
     entry: usize,
-    came: Duration,
+    arrived_at: Duration,
     done_count: u32,
 }
 
@@ -120,24 +120,24 @@
     level: LevelController,
 }
 
-/// Entries, the gates of one service, and requests that come at random.
+/// Simulated entries, gates of one service, and requests that arrive at random.
 pub(crate) struct CallMesh {
     settings: MeshSettings,
     kinds: Vec<Kind>,
     priorities: BTreeMap<String, Priority>,
     entries: Vec<EntryAdmission>,
     gates: Vec<Gate>,
-    told: BTreeMap<(usize, usize, usize), Duration>,
-    /// By entry and gate: until when the entry leaves the gate out for its limit.
-    left_out_until: BTreeMap<(usize, usize), Duration>,
+    updated_at: BTreeMap<(usize, usize, usize), Duration>,
+    /// By entry and gate: until when the entry excludes the gate for its rate limit.
+    excluded_until: BTreeMap<(usize, usize), Duration>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
     random: StdRng,
-    watched_from: Duration,
+    recorded_from: Duration,
     pub(crate) outcomes: Vec<Outcome>,
-    /// Slot time of calls that ended while it was watched.
-    busy: Duration,
-    watched_until: Duration,
+    /// Run time of calls that ended while results were recorded.
+    slot_time: Duration,
+    recorded_until: Duration,
 }
 
 impl CallMesh {
@@ -164,20 +164,20 @@
             priorities: priorities.collect(),
             entries: entries.collect(),
             gates: (0..settings.gates_count).map(|_| gate()).collect(),
-            told: BTreeMap::new(),
-            left_out_until: BTreeMap::new(),
+            updated_at: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
             events: BinaryHeap::new(),
             sequence: 0,
             random: StdRng::seed_from_u64(settings.seed),
-            watched_from: Duration::MAX,
+            recorded_from: Duration::MAX,
             outcomes: vec![Outcome::default(); kinds.len()],
-            busy: Duration::ZERO,
-            watched_until: Duration::MAX,
+            slot_time: Duration::ZERO,
+            recorded_until: Duration::MAX,
             kinds: kinds.to_vec(),
         }
     }
 
-    /// The backend servers of the first gates take so many calls a second.
+    /// Limits the backend servers of the first gates to this many calls a second.
     pub(crate) fn limit_gates(&mut self, gates_count: usize, per_s: f64) {
         let life = BackendLife::untold("limited");
         for gate in &mut self.gates[..gates_count] {
@@ -188,16 +188,16 @@
         }
     }
 
-    /// Lets requests come for `warm` and then for `watched`, which counts.
-    pub(crate) fn run(&mut self, warm: Duration, watched: Duration) {
-        self.watched_from = warm;
-        self.watched_until = warm + watched;
+    /// Lets requests arrive for `warm_up`, and then for `recorded`, in which results are recorded.
+    pub(crate) fn run(&mut self, warm_up: Duration, recorded: Duration) {
+        self.recorded_from = warm_up;
+        self.recorded_until = warm_up + recorded;
         for kind in 0..self.kinds.len() {
             self.at(Duration::ZERO, Event::Request { kind });
         }
         self.at(LEVEL_INTERVAL, Event::Levels);
-        // Those that came at the end have their time to be answered.
-        let until = self.watched_until + Duration::from_secs(5);
+        // The last requests have time to be answered.
+        let until = self.recorded_until + Duration::from_secs(5);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= until {
                 return;
@@ -207,26 +207,26 @@
                 Event::Ended {
                     gate,
                     call,
-                    work_us,
-                } => self.ended(now, gate, call, Duration::from_micros(work_us)),
+                    run_time_us,
+                } => self.ended(now, gate, call, Duration::from_micros(run_time_us)),
                 Event::Admit { gate } => self.admit_waiting(now, gate),
-                Event::Levels => self.set_levels(now),
+                Event::Levels => self.update_levels(now),
             }
         }
     }
 
-    /// Share of the slots that did work while it was watched.
+    /// Share of the slots that was used while results were recorded.
     pub(crate) fn used_ratio(&self) -> f64 {
-        let watched = self.watched_until - self.watched_from;
-        self.busy.as_secs_f64() / watched.as_secs_f64() / self.settings.slots_count as f64
+        let recorded = self.recorded_until - self.recorded_from;
+        self.slot_time.as_secs_f64() / recorded.as_secs_f64() / self.settings.slots_count as f64
     }
 
-    /// Slot time a second that so many requests of a kind take, in slots.
+    /// Mean number of slots that this many requests of a kind use.
     pub(crate) fn slots_of(&self, kind: usize, requests_count: u32) -> f64 {
-        let watched = self.watched_until - self.watched_from;
+        let recorded = self.recorded_until - self.recorded_from;
         let kind = self.kinds[kind];
-        let work_s = kind.run_time.as_secs_f64() * f64::from(kind.calls_count);
-        work_s * f64::from(requests_count) / watched.as_secs_f64()
+        let run_time_s = kind.run_time.as_secs_f64() * f64::from(kind.calls_count);
+        run_time_s * f64::from(requests_count) / recorded.as_secs_f64()
     }
 
     fn at(&mut self, at: Duration, event: Event) {
@@ -255,7 +255,7 @@
         let call = Call {
             kind,
             entry,
-            came: now,
+            arrived_at: now,
             done_count: 0,
         };
         self.count(call, |outcome| outcome.offered_count += 1);
@@ -267,24 +267,24 @@
     }
 
     fn count(&mut self, call: Call, count: impl FnOnce(&mut Outcome)) {
-        if (self.watched_from..self.watched_until).contains(&call.came) {
+        if (self.recorded_from..self.recorded_until).contains(&call.arrived_at) {
             count(&mut self.outcomes[call.kind]);
         }
     }
 
-    /// Asks one gate after the other while they refuse for their limits, and does the same for calls
-    /// that are put out of a queue for this one.
+    /// Offers a call to one gate after the other while they refuse it for their rate limits. Does
+    /// the same for calls that this one evicts from a queue.
     fn send(&mut self, now: Duration, call: Call) {
-        let mut unsent = vec![(call, ASKED_COUNT)];
-        while let Some((call, asks_left)) = unsent.pop() {
-            let Some(gate) = self.emptier_gate(now, call.entry) else {
+        let mut pending = vec![(call, MAX_OFFERS_COUNT)];
+        while let Some((call, offers_left)) = pending.pop() {
+            let Some(gate) = self.pick_gate(now, call.entry) else {
                 self.count(call, |outcome| outcome.lost_count += 1);
                 continue;
             };
-            for lost in self.ask(now, gate, call) {
-                let asks_left = if lost == call { asks_left - 1 } else { 1 };
-                if asks_left > 0 && self.is_left_out(now, lost.entry, gate) {
-                    unsent.push((lost, asks_left));
+            for lost in self.offer(now, gate, call) {
+                let offers_left = if lost == call { offers_left - 1 } else { 1 };
+                if offers_left > 0 && self.exclude_if_rate_limited(now, lost.entry, gate) {
+                    pending.push((lost, offers_left));
                 } else {
                     self.count(lost, |outcome| outcome.lost_count += 1);
                 }
@@ -292,68 +292,68 @@
         }
     }
 
-    /// Whether an entry leaves a gate out from now on, as it refuses for its limit.
-    fn is_left_out(&mut self, now: Duration, entry: usize, gate: usize) -> bool {
+    /// Excludes a gate at an entry if it refuses calls for its rate limit. Returns whether it does.
+    fn exclude_if_rate_limited(&mut self, now: Duration, entry: usize, gate: usize) -> bool {
         let from = &self.gates[gate].gate;
         if from.refusal(now) != NotRunReason::Limited {
             return false;
         }
         let rate = from.report(now, 1.0).rate;
         let wait = rate.map(|rate| rate.wait()).unwrap_or_default();
-        let until = now + wait.max(LEFT_OUT_LEAST);
-        self.left_out_until.insert((entry, gate), until);
+        let until = now + wait.max(MIN_EXCLUSION_TIME);
+        self.excluded_until.insert((entry, gate), until);
         true
     }
 
-    /// Asks a gate to run a call; those that are lost.
-    fn ask(&mut self, now: Duration, gate: usize, call: Call) -> Vec<Call> {
+    /// Offers a call to a gate. Returns the calls that the gate refuses or evicts.
+    fn offer(&mut self, now: Duration, gate: usize, call: Call) -> Vec<Call> {
         let kind = self.kinds[call.kind];
         let known = self.entries[call.entry].level(now, SERVICE);
-        let heard = known.map_or(1.0, |(level, _)| level);
+        let known_level = known.map_or(1.0, |(level, _)| level);
         let to = &mut self.gates[gate];
-        let work = to.gate.run_times().estimate(kind.route);
-        to.level.on_arrival(heard, work);
+        let run_time = to.gate.run_times().estimate(kind.route);
+        to.level.on_arrival(known_level, run_time);
         let asked = GateCall {
             priority: 0,
             request_priority: kind.priority,
             soft_deadline: now + kind.call_target_latency,
-            deadline: call.came + kind.timeout,
-            run_time: work,
+            deadline: call.arrived_at + kind.timeout,
+            run_time,
         };
         let lost = match to.gate.offer(now, asked, call) {
             Admission::Run => {
-                self.begin(now, gate, call);
+                self.start(now, gate, call);
                 Vec::new()
             }
             Admission::Wait(_) => Vec::new(),
             Admission::Evict(_, evicted) => evicted,
             Admission::Refuse(refused) => vec![refused],
         };
-        self.admit_later(now, gate);
+        self.schedule_admission(now, gate);
         lost
     }
 
     fn admit_waiting(&mut self, now: Duration, gate: usize) {
         while let Some(next) = self.gates[gate].gate.next(now) {
-            self.begin(now, gate, next);
+            self.start(now, gate, next);
         }
-        self.admit_later(now, gate);
+        self.schedule_admission(now, gate);
     }
 
-    fn admit_later(&mut self, now: Duration, gate: usize) {
+    fn schedule_admission(&mut self, now: Duration, gate: usize) {
         if let Some(wait) = self.gates[gate].gate.rate_limit_wait(now) {
             self.at(now + wait, Event::Admit { gate });
         }
     }
 
-    /// The emptier one of two gates that an entry doesn't leave out, if there are any.
-    fn emptier_gate(&mut self, now: Duration, entry: usize) -> Option<usize> {
-        let is_left_out = |gate: usize| {
-            let until = self.left_out_until.get(&(entry, gate));
+    /// Picks the less loaded of two random gates that the entry doesn't exclude, if there are any.
+    fn pick_gate(&mut self, now: Duration, entry: usize) -> Option<usize> {
+        let is_excluded = |gate: usize| {
+            let until = self.excluded_until.get(&(entry, gate));
             until.is_some_and(|until| now < *until)
         };
         let open: Vec<usize> = (0..self.gates.len())
-            .filter(|gate| !is_left_out(*gate))
+            .filter(|gate| !is_excluded(*gate))
             .collect();
         if open.is_empty() {
             return None;
@@ -368,41 +368,40 @@
         Some(if cost(one) <= cost(other) { one } else { other })
     }
 
-    fn begin(&mut self, now: Duration, gate: usize, call: Call) {
-        let work = self.kinds[call.kind].run_time;
-        let work = work.mul_f64(self.random.random_range(0.6..1.4));
-        let work_us = work.as_micros() as u64;
+    fn start(&mut self, now: Duration, gate: usize, call: Call) {
+        let run_time = self.kinds[call.kind].run_time;
+        let run_time = run_time.mul_f64(self.random.random_range(0.6..1.4));
+        let run_time_us = run_time.as_micros() as u64;
         self.at(
-            now + work,
+            now + run_time,
             Event::Ended {
                 gate,
                 call,
-                work_us,
+                run_time_us,
             },
         );
     }
 
-    fn ended(&mut self, now: Duration, gate: usize, call: Call, work: Duration) {
+    fn ended(&mut self, now: Duration, gate: usize, call: Call, run_time: Duration) {
         let kind = self.kinds[call.kind];
         let route = kind.route;
-        if (self.watched_from..self.watched_until).contains(&now) {
-            self.busy += work;
+        if (self.recorded_from..self.recorded_until).contains(&now) {
+            self.slot_time += run_time;
         }
-        self.gates[gate].gate.ended(Some(RouteRunTime {
-            route,
-            run_time: work,
-        }));
+        self.gates[gate]
+            .gate
+            .ended(Some(RouteRunTime { route, run_time }));
         self.admit_waiting(now, gate);
-        self.tell(now, gate, call);
+        self.report(now, gate, call);
         let call = Call {
             done_count: call.done_count + 1,
             ..call
         };
-        if call.done_count < kind.calls_count && now < call.came + kind.timeout {
+        if call.done_count < kind.calls_count && now < call.arrived_at + kind.timeout {
             self.send(now, call);
             return;
         }
-        let took = now - call.came;
+        let took = now - call.arrived_at;
         if took <= kind.target_latency {
             self.count(call, |outcome| outcome.timely_count += 1);
         } else if took <= kind.timeout {
@@ -412,20 +411,20 @@
         }
     }
 
-    /// An answer tells its entry how busy the gate is, and now and then what it knows.
-    fn tell(&mut self, now: Duration, gate: usize, call: Call) {
+    /// Reports the load of the gate to an entry with an answer, and updates its route at intervals.
+    fn report(&mut self, now: Duration, gate: usize, call: Call) {
         let kind = self.kinds[call.kind];
         let from = &self.gates[gate];
         let address = SocketAddr::from(([10, 0, 0, 1], gate as u16));
         let report = from.gate.report(now, from.level.level());
         self.entries[call.entry].on_gate(now, SERVICE, address, &report);
-        let told = self.told.entry((gate, call.entry, call.kind));
-        let told = told.or_insert(Duration::ZERO);
-        if *told > Duration::ZERO && now < *told + NEWS_INTERVAL {
+        let updated_at = self.updated_at.entry((gate, call.entry, call.kind));
+        let updated_at = updated_at.or_insert(Duration::ZERO);
+        if *updated_at > Duration::ZERO && now < *updated_at + ROUTE_UPDATE_INTERVAL {
             return;
         }
-        *told = now;
-        let work = from
+        *updated_at = now;
+        let run_time = from
             .gate
             .run_times()
             .route_mean(kind.route)
@@ -433,19 +432,19 @@
         let one = ServiceDemand {
             service: String::from(SERVICE),
             calls: 1.0,
-            work_us: work.as_micros() as u32,
+            work_us: run_time.as_micros() as u32,
         };
-        let news = RouteNews {
+        let update = RouteNews {
             is_from_outside: true,
             is_settled: true,
             leads_to: vec![one.scaled(kind.calls_count as f32)],
         };
-        let makes_sense =
-            self.entries[call.entry].on_route_update(now, kind.route, kind.route, address, news);
-        assert!(makes_sense);
+        let is_plausible =
+            self.entries[call.entry].on_route_update(now, kind.route, kind.route, address, update);
+        assert!(is_plausible);
     }
 
-    fn set_levels(&mut self, now: Duration) {
+    fn update_levels(&mut self, now: Duration) {
         for gate in &mut self.gates {
             gate.level.tick(now, gate.gate.state());
         }
--- a/crates/kumquatquay-core/tests/routed/store_poller.rs
+++ b/crates/kumquatquay-core/tests/routed/store_poller.rs
@@ -366,10 +366,10 @@
     }
 }
 
-/// A fleet of the size that is planned for, whose reads the store limits together. Neither while the store is
-/// unresponsive, nor right after its recovery, nor when a change ends all reads at once, do the
-/// nodes start more reads a second than the store handles: it would reject the others, and these
-/// would be retried.
+/// A fleet of the size that is planned for, whose reads the store limits together. Neither while
+/// the store is unresponsive, nor right after its recovery, nor when a change ends all reads at
+/// once, do the nodes start more reads a second than the store handles: it would reject the others,
+/// and these would be retried.
 #[test]
 fn five_thousand_nodes_do_not_overload_the_store() {
     let scene = Scene {
