--- a/crates/kumquatquay-core/src/quarantine/broken_calls.rs
+++ b/crates/kumquatquay-core/src/quarantine/broken_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this node that broke after they were handed over.
+//! Recent calls of this node whose connection broke after the request was sent.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,23 +6,23 @@
 
 /// How long a broken call makes its fingerprint suspect at this node.
 ///
-/// It covers the time until the news of the backend server's death arrive: its
-/// node has to notice the death first.
+/// It covers the time until the backend server's node has detected the death and its report
+/// has reached this node.
 const RETENTION: Duration = Duration::from_secs(5);
 
-/// Fingerprints that are remembered.
+/// Most fingerprints in the table.
 const FINGERPRINTS_LIMIT_COUNT: usize = 1_024;
 
-/// How a call broke.
+/// Which connection of a call broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionBreak {
-    /// The node answers and its backend server broke the connection.
+    /// The one between a node and its backend server, as the node's answer says.
     Backend,
-    /// The connection to the node broke: the host or the network failed.
+    /// The one to the node: its host or the network failed.
     Host,
 }
 
-/// Calls of this node that broke after they were handed over.
+/// Recent calls of this node whose connection broke, by service and fingerprint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BrokenCalls {
     broken: BTreeMap<(ServiceName, Fingerprint), BrokenCall>,
@@ -55,14 +55,14 @@
         broken.expires = now + RETENTION;
     }
 
-    /// A call with the fingerprint ran well.
+    /// Forgets the broken calls of a fingerprint, after a call with it has run.
     pub(crate) fn remove(&mut self, service: &ServiceName, fingerprint: Fingerprint) {
         if !self.broken.is_empty() {
             self.broken.remove(&(service.clone(), fingerprint));
         }
     }
 
-    /// Whether a backend server broke under a call with the fingerprint.
+    /// Whether a backend server broke the connection of a call with the fingerprint.
     pub(crate) fn is_suspect(
         &self,
         now: Duration,
@@ -73,8 +73,8 @@
         broken.is_some_and(|broken| broken.backend_count > 0)
     }
 
-    /// Whether this node may retry a call by itself: never after a backend
-    /// server broke under it, once after a host failed.
+    /// Whether this node may retry a call automatically: not after a backend server broke its
+    /// connection, and only once after the connection to a node broke.
     pub(crate) fn allows_retry(
         &self,
         now: Duration,
@@ -93,7 +93,7 @@
         (broken.expires > now).then_some(broken)
     }
 
-    pub(crate) fn sweep(&mut self, now: Duration) {
+    pub(crate) fn remove_expired(&mut self, now: Duration) {
         self.broken.retain(|_, broken| broken.expires > now);
     }
 }
--- a/crates/kumquatquay-core/src/quarantine/controller.rs
+++ b/crates/kumquatquay-core/src/quarantine/controller.rs
@@ -1,4 +1,4 @@
-//! Requests that crash what runs them: what is decided.
+//! Decides which requests may run, and records which may have crashed a backend server.
 
 use std::{cmp::Reverse, net::SocketAddr, time::Duration};
 
@@ -15,41 +15,44 @@
     WorkId, membership,
 };
 
-/// Status of a node's answer whose backend server broke the connection; one that
-/// took too long has another status and is no sign of a crash.
+/// HTTP status of a node's answer if its backend server broke the connection.
+///
+/// A time-out has another status: it is no sign of a crash.
 const CONNECTION_BROKEN_STATUS: u16 = 502;
 
-/// How long after its connection broke work counts as in flight at a death.
+/// How long work counts as in flight after its connection broke.
 ///
-/// The connections of a backend server that dies break before the node sees
-/// that it is gone; without this its requests would look finished.
+/// The connections of a backend server that dies break before its node detects the death;
+/// without this retention its requests would look finished by then.
 const BROKEN_WORK_RETENTION: Duration = Duration::from_secs(3);
 
-/// Work whose connection broke that is remembered.
+/// Most work with a broken connection that is remembered.
 const BROKEN_WORK_LIMIT_COUNT: usize = 1_024;
 
-/// Suspects that one crash adds; more requests in flight than this say little
-/// about each.
+/// Most suspects that one crash adds.
+///
+/// With more requests in flight, the crash is weak evidence against each of them.
 const SUSPECTS_LIMIT_COUNT: usize = 256;
 
-/// When a suspect may come back that can't run now.
+/// `Retry-After` of a suspect that can't run at the moment.
 const SUSPECT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
+/// How often expired entries are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What may be done with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Nothing is known against it.
+    /// It may run: it is not suspected of a crash.
     Admit,
-    /// A suspect: it may run at the proving target only, one at a time, and is
-    /// not retried automatically.
+    /// A suspect: it may run at the [`isolation_endpoint`] only, one at a time, and is not
+    /// retried automatically.
     Isolate,
     /// It must not run.
     Refuse(Refusal),
 }
 
-/// What an entry may do with a request to a service.
+/// Whether a request to a service may run, by what this node knows of its fingerprint.
 pub(crate) fn check(
     board: &Blackboard,
     now: Moment,
@@ -65,24 +68,24 @@
     } else {
         Verdict::Admit
     };
-    let Some(known) = table.get(service, fingerprint) else {
+    let Some(entry) = table.get(service, fingerprint) else {
         return verdict;
     };
-    if known.is_quarantined(now.monotonic) {
-        let count = known.crashes_count();
-        return Verdict::Refuse(quarantine_refusal(count, known.remaining(now.monotonic)));
+    if entry.is_quarantined(now.monotonic) {
+        let count = entry.crashes_count();
+        return Verdict::Refuse(quarantine_refusal(count, entry.remaining(now.monotonic)));
     }
-    if known.is_suspect(now.monotonic) {
+    if entry.is_suspect(now.monotonic) {
         return Verdict::Isolate;
     }
     verdict
 }
 
-/// Takes in how an attempt of a call of this node ended.
+/// Records how an attempt of a call of this node ended.
 ///
-/// A request that broke its backend server is treated as a suspect here before
-/// anybody knows that the backend server died: a retry or a quick resend would
-/// reach the next one first.
+/// This node treats a request as a suspect as soon as a backend server has broken its
+/// connection. By the time the death is detected, a retry or a quick resend could already have
+/// reached another backend server.
 pub(crate) fn on_attempt_ended(
     board: &mut Blackboard,
     now: Moment,
@@ -91,12 +94,12 @@
     result: &AttemptResult,
     outcome: Outcome,
 ) {
-    let broken = &mut board.quarantine.broken_calls;
+    let broken_calls = &mut board.quarantine.broken_calls;
     match (result, outcome) {
         (AttemptResult::Answered(head), Outcome::Unknown)
             if head.status == CONNECTION_BROKEN_STATUS =>
         {
-            broken.add(
+            broken_calls.add(
                 now.monotonic,
                 service,
                 fingerprint,
@@ -104,14 +107,14 @@
             );
         }
         (AttemptResult::Broken, _) => {
-            broken.add(now.monotonic, service, fingerprint, ConnectionBreak::Host);
+            broken_calls.add(now.monotonic, service, fingerprint, ConnectionBreak::Host);
         }
-        (AttemptResult::Answered(_), Outcome::Ran) => broken.remove(service, fingerprint),
+        (AttemptResult::Answered(_), Outcome::Ran) => broken_calls.remove(service, fingerprint),
         _ => {}
     }
 }
 
-/// Whether this node may retry a call by itself.
+/// Whether this node may retry a call automatically.
 pub(crate) fn may_retry(
     board: &Blackboard,
     now: Moment,
@@ -119,8 +122,8 @@
     fingerprint: Fingerprint,
 ) -> bool {
     let table = &board.quarantine;
-    let known = table.get(service, fingerprint);
-    let is_active = known.is_some_and(|known| known.is_active(now.monotonic));
+    let entry = table.get(service, fingerprint);
+    let is_active = entry.is_some_and(|entry| entry.is_active(now.monotonic));
     !is_active
         && table
             .broken_calls
@@ -134,7 +137,7 @@
         retry_after: Some(remaining),
         detail: format!(
             "{crashes_count} backend servers died while they ran this request; it is refused \
-             until the quarantine lapses or an operator releases it"
+             until the quarantine expires or an operator releases it"
         ),
     }
 }
@@ -150,21 +153,22 @@
 
 /// Peer address of the one backend server of a service that runs suspects.
 ///
-/// All nodes with the same view of the members pick the same one, so that two
-/// suspects, or one suspect that was sent twice, can't run at the same time at
-/// two backend servers. When it dies the next one takes its place.
+/// It is picked by rendezvous hashing: all nodes with the same view of the members pick the
+/// same one, so that two suspects, or one suspect that was sent twice, can't run at two backend
+/// servers at the same time. When it dies, the one with the next highest hash takes over.
 pub(crate) fn isolation_endpoint(board: &Blackboard, service: &ServiceName) -> Option<SocketAddr> {
     let candidates = board.members.candidates(service).iter();
-    let first = candidates.max_by_key(|candidate| {
+    let picked = candidates.max_by_key(|candidate| {
         let name = format!("{service} {} {}", candidate.control, candidate.incarnation);
         let hash = blake3::hash(name.as_bytes());
         (*hash.as_bytes(), candidate.control)
     });
-    first.map(|candidate| candidate.peer)
+    picked.map(|candidate| candidate.peer)
 }
 
-/// What the gate may do with a piece of work that is about to run; a suspect
-/// that is admitted counts as running until [`on_work_ran`] or [`on_work_ended`].
+/// Whether the gate may run a piece of work now.
+///
+/// A suspect that is admitted counts as running until [`on_work_ran`] or [`on_work_ended`].
 pub(crate) fn admit_work(
     board: &mut Blackboard,
     now: Moment,
@@ -192,18 +196,18 @@
     }
     if !board.quarantine.running_suspects.is_empty() {
         return Verdict::Refuse(temporary_refusal(
-            "another suspected request runs; ask again",
+            "another suspected request is running; retry later",
         ));
     }
     let target = isolation_endpoint(board, &service);
     if target.is_some_and(|target| target != board.settings.peer) {
-        let detail = "suspected of a crash; it may run at another backend server only";
+        let detail = "suspected of a crash; it may run only at another backend server";
         return Verdict::Refuse(temporary_refusal(detail));
     }
     Verdict::Isolate
 }
 
-/// Service of this host; remembered when its backend server is gone.
+/// Service of this host; the last one that was known if its backend server is gone.
 fn own_service(board: &mut Blackboard) -> Option<ServiceName> {
     if let Some(service) = &board.members.own().service
         && board.quarantine.service.as_ref() != Some(service)
@@ -213,11 +217,10 @@
     board.quarantine.service.clone()
 }
 
-/// Takes in that the backend server of this host answered work that it ran.
+/// Records that the backend server of this host answered work that it ran.
 ///
-/// A suspect that ran well is cleared. A quarantined one is not: the work may
-/// have begun before its fingerprint was quarantined, and another request that
-/// shares the fingerprint would be let loose again.
+/// This clears a suspect, but not a quarantined fingerprint: the work may have started before
+/// the quarantine, and clearing it would let other requests with the fingerprint run again.
 pub(crate) fn on_work_ran(
     board: &mut Blackboard,
     now: Moment,
@@ -228,31 +231,37 @@
     let Some(service) = own_service(board) else {
         return;
     };
-    let known = board.quarantine.get(&service, fingerprint);
-    if known.is_some_and(|known| known.is_suspect(now.monotonic)) {
-        board.quarantine.get_mut(&service, fingerprint).clear();
+    let entry = board.quarantine.get(&service, fingerprint);
+    if entry.is_some_and(|entry| entry.is_suspect(now.monotonic)) {
+        board
+            .quarantine
+            .get_or_insert(&service, fingerprint)
+            .clear();
     }
 }
 
-/// Takes in that the connection of work broke while it ran.
+/// Records that the connection of a piece of work broke while it ran.
 pub(crate) fn on_connection_broken(board: &mut Blackboard, now: Moment, request: InFlightRequest) {
     if board.quarantine.counted_work.contains(&request.work) {
         return;
     }
-    let broken = &mut board.quarantine.broken_work;
-    broken.push_back((now.monotonic, request));
-    if broken.len() > BROKEN_WORK_LIMIT_COUNT {
-        broken.pop_front();
+    let broken_work = &mut board.quarantine.broken_work;
+    broken_work.push_back((now.monotonic, request));
+    if broken_work.len() > BROKEN_WORK_LIMIT_COUNT {
+        broken_work.pop_front();
     }
 }
 
-/// Takes in that the backend server runs a piece of work no longer.
+/// Records that the backend server no longer runs a piece of work.
 pub(crate) fn on_work_ended(board: &mut Blackboard, work: WorkId) {
     board.quarantine.counted_work.remove(&work);
     board.quarantine.running_suspects.remove(&work);
 }
 
-/// Takes in that the backend server of this host died with requests in flight.
+/// Records that the backend server of this host died with requests in flight.
+///
+/// Each of them becomes a suspect, or is quarantined if it was a suspect already; the other
+/// nodes of the service are notified.
 pub(crate) fn on_backend_died(
     board: &mut Blackboard,
     now: Moment,
@@ -271,10 +280,10 @@
         .counted_work
         .extend(new.iter().map(|request| request.work));
     table.running_suspects.clear();
-    let broken = std::mem::take(&mut table.broken_work);
-    let recent = broken
+    let broken_work = std::mem::take(&mut table.broken_work);
+    let recent = broken_work
         .into_iter()
-        .filter(|(at, _)| now.monotonic <= *at + BROKEN_WORK_RETENTION)
+        .filter(|(broken_at, _)| now.monotonic <= *broken_at + BROKEN_WORK_RETENTION)
         .map(|(_, request)| request);
     let in_flight: Vec<InFlightRequest> = new.into_iter().chain(recent).collect();
     let Some(service) = own_service(board) else {
@@ -287,9 +296,9 @@
     let mut suspects = fingerprints_latest_first(in_flight);
     suspects.truncate(SUSPECTS_LIMIT_COUNT);
     for fingerprint in &suspects {
-        let known = board.quarantine.get_mut(&service, *fingerprint);
-        known.add_crash(now.monotonic, crash);
-        if known.is_quarantined(now.monotonic) {
+        let entry = board.quarantine.get_or_insert(&service, *fingerprint);
+        entry.add_crash(now.monotonic, crash);
+        if entry.is_quarantined(now.monotonic) {
             log_quarantined(&service, *fingerprint, out);
         }
     }
@@ -315,7 +324,8 @@
 }
 
 fn log_quarantined(service: &str, fingerprint: Fingerprint, out: &mut Vec<Output>) {
-    let detail = format!("requests {fingerprint} to {service} are refused: two crashes");
+    let detail =
+        format!("requests {fingerprint} to {service} are refused after at least two crashes");
     out.push(Output::Note(Note::new(
         Severity::Error,
         "quarantined",
@@ -323,8 +333,10 @@
     )));
 }
 
-/// Tells the nodes of the service at once. A caller that resends to another
-/// backend server within a round of gossip would crash it too.
+/// Sends the records of new suspects to the other nodes of the service at once.
+///
+/// A caller that resends to another backend server before the next round of gossip would crash
+/// that one too.
 fn notify_service(
     board: &mut Blackboard,
     now: Moment,
@@ -332,12 +344,12 @@
     suspects: &[Fingerprint],
     out: &mut Vec<Output>,
 ) {
-    let records = suspects
+    let entries = suspects
         .iter()
         .filter_map(|fingerprint| board.quarantine.get(service, *fingerprint));
-    let mut told: Vec<_> = records.map(|known| known.record(now.monotonic)).collect();
-    told.sort_by_key(|record| Reverse((record.is_quarantined(), record.score_milli())));
-    let rumours: Vec<Rumour> = told.into_iter().map(Rumour::Quarantine).collect();
+    let mut records: Vec<_> = entries.map(|entry| entry.record(now.monotonic)).collect();
+    records.sort_by_key(|record| Reverse((record.is_quarantined(), record.score_milli())));
+    let rumours: Vec<Rumour> = records.into_iter().map(Rumour::Quarantine).collect();
     let own = board.settings.control;
     let candidates = board.members.candidates(service).iter();
     let receivers: Vec<SocketAddr> = candidates
@@ -349,28 +361,27 @@
     }
 }
 
-/// Records to tell others, the most important first; the caller decides how
-/// often each is told.
+/// Records to gossip, by descending priority; the caller limits how often each is sent.
 pub(crate) fn records_to_gossip(board: &Blackboard, now: Moment) -> Vec<QuarantineRecord> {
-    let records = board.quarantine.iter();
-    let lasting = records.filter(|known| !known.is_expired(now.monotonic));
-    let mut lasting: Vec<_> = lasting.collect();
-    lasting.sort_by_key(|known| Reverse(known.priority()));
-    lasting
+    let entries = board.quarantine.iter();
+    let unexpired = entries.filter(|entry| !entry.is_expired(now.monotonic));
+    let mut unexpired: Vec<_> = unexpired.collect();
+    unexpired.sort_by_key(|entry| Reverse(entry.priority()));
+    unexpired
         .into_iter()
-        .map(|known| known.record(now.monotonic))
+        .map(|entry| entry.record(now.monotonic))
         .collect()
 }
 
-/// Takes in a record that another node tells of.
+/// Merges a record received from another node.
 pub(crate) fn on_rumour(board: &mut Blackboard, now: Moment, record: QuarantineRecord) {
     if record.remaining_ms == 0 {
         return;
     }
-    let known = board
+    let entry = board
         .quarantine
-        .get_mut(&record.service, record.fingerprint);
-    known.merge(now.monotonic, &record);
+        .get_or_insert(&record.service, record.fingerprint);
+    entry.merge(now.monotonic, &record);
 }
 
 /// Lists suspects and quarantined requests.
@@ -380,7 +391,7 @@
     }
 }
 
-/// Records that still count, the most important first.
+/// Records with crashes that are not cleared, by descending priority.
 pub(crate) fn active_records(board: &Blackboard, now: Moment) -> Vec<QuarantineRecord> {
     let mut records = records_to_gossip(board, now);
     records.retain(|record| record.crashes_count() > 0);
@@ -394,13 +405,13 @@
     service: &ServiceName,
     fingerprint: Fingerprint,
 ) -> OperatorReply {
-    let known = board.quarantine.get(service, fingerprint);
-    if !known.is_some_and(|known| known.is_active(now.monotonic)) {
+    let entry = board.quarantine.get(service, fingerprint);
+    if !entry.is_some_and(|entry| entry.is_active(now.monotonic)) {
         return OperatorReply::Refused {
             message: format!("no request {fingerprint} to {service} is suspected or quarantined"),
         };
     }
-    board.quarantine.get_mut(service, fingerprint).clear();
+    board.quarantine.get_or_insert(service, fingerprint).clear();
     OperatorReply::Done {
         message: format!(
             "requests {fingerprint} to {service} may run again; if one crashes two more backend \
@@ -415,5 +426,5 @@
         return;
     }
     board.quarantine.last_sweep = now.monotonic;
-    board.quarantine.sweep(now.monotonic);
+    board.quarantine.remove_expired(now.monotonic);
 }
--- a/crates/kumquatquay-core/src/quarantine/fingerprint.rs
+++ b/crates/kumquatquay-core/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What identifies a request across resends.
+//! Fingerprint that identifies a request across resends.
 
 use std::sync::LazyLock;
 
@@ -6,18 +6,18 @@
 
 use crate::CallArrived;
 
-/// Separates this use of the hash from all others.
+/// Key derivation context: separates these hashes from those for other purposes.
 const DERIVATION_CONTEXT: &str = "kumquatquay 2026-12-02 request fingerprint v1";
 
-/// The hash's key, derived once: deriving it takes as long as hashing a call.
+/// Key of the hash, derived once: deriving it takes as long as hashing a call.
 static DERIVED_KEY: LazyLock<[u8; 32]> =
     LazyLock::new(|| blake3::derive_key(DERIVATION_CONTEXT, &[]));
 
-/// Identifies a request across resends under new trace ids.
+/// Fingerprint of a request, the same for a resend with a new trace id.
 ///
-/// It covers the route, the query, the caller and the digest of the body. The
-/// `Idempotency-Key` stands in where the host has not read the whole body: a
-/// caller that resends a crashing body under a new key is still recognised.
+/// It covers the service, the method, the path, the query, the caller and the digest of the
+/// body. The `Idempotency-Key` is hashed only if the host has not read the whole body; otherwise
+/// a caller that resends a crashing body under a new key would not be recognised.
 pub(crate) fn fingerprint_of(arrived: &CallArrived, caller: &str) -> Fingerprint {
     let mut hasher = blake3::Hasher::new_keyed(&DERIVED_KEY);
     let query = arrived.query.as_deref().unwrap_or_default();
--- a/crates/kumquatquay-core/src/quarantine/in_flight_request.rs
+++ b/crates/kumquatquay-core/src/quarantine/in_flight_request.rs
@@ -1,4 +1,4 @@
-//! A request that a backend server ran when it died.
+//! Requests that a backend server was running when it died.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::WorkId;
 
-/// A request that a backend server ran when it died.
+/// A request that a backend server was running when it died.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightRequest {
-    /// The work that it is at this gate.
+    /// Its id at this gate.
     pub(crate) work: WorkId,
-    /// What identifies it across resends.
+    /// Its fingerprint, the same for resends.
     pub(crate) fingerprint: Fingerprint,
-    /// When it was handed over, on the monotonic clock.
+    /// When it was sent to the backend server, on the monotonic clock.
     pub(crate) started: Duration,
 }
 
-/// The requests, each fingerprint once, the one that started last first.
+/// Distinct fingerprints of the requests, the one that started last first.
 ///
-/// A request that crashes what runs it mostly does so soon, and not all of them
-/// fit into the first datagrams.
+/// A request that crashes its backend server mostly does so soon after its start, and not all
+/// fingerprints fit into the first datagrams.
 pub(crate) fn fingerprints_latest_first(mut in_flight: Vec<InFlightRequest>) -> Vec<Fingerprint> {
     in_flight.sort_by_key(|request| (request.fingerprint, request.started));
     in_flight.reverse();
--- a/crates/kumquatquay-core/src/quarantine/mod.rs
+++ b/crates/kumquatquay-core/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash what runs them.
+//! Quarantine of requests that crash backend servers.
 
 mod broken_calls;
 mod controller;
--- a/crates/kumquatquay-core/src/quarantine/quarantine_entry.rs
+++ b/crates/kumquatquay-core/src/quarantine/quarantine_entry.rs
@@ -1,27 +1,28 @@
-//! What is known against one fingerprint at one service.
+//! Crashes that are attributed to one fingerprint at one service.
 
 use std::time::Duration;
 
 use kumquatquay_wire::{Crash, Fingerprint, QuarantineRecord, ServiceName};
 
-/// How long a suspicion lasts from its newest crash.
+/// How long a suspicion lasts after its latest crash.
 pub(crate) const SUSPICION_DURATION: Duration = Duration::from_secs(10 * 60);
 
-/// How long a quarantine lasts from its newest crash.
+/// How long a quarantine lasts after its latest crash.
 pub(crate) const QUARANTINE_DURATION: Duration = Duration::from_secs(60 * 60);
 
-/// By how much another node's record must outlast the own to prolong it.
+/// By how much a received record must outlast the local one to extend it.
 ///
-/// A record loses the time that a datagram travels. Without this threshold two
-/// nodes would prolong each other's records for ever, a little at each telling.
+/// `remaining_ms` doesn't count the transit time of the datagram, so a receiver computes a
+/// slightly later expiry. Without this threshold two nodes would extend each other's records for
+/// ever, a little with each exchange.
 const MIN_EXTENSION: Duration = Duration::from_secs(2);
 
-/// What is known against one fingerprint at one service.
+/// Crashes that are attributed to one fingerprint at one service, until they expire.
 #[derive(Clone, Debug)]
 pub(crate) struct QuarantineEntry {
-    /// The record without the time left.
+    /// The record; its `remaining_ms` stays 0.
     record: QuarantineRecord,
-    /// When it lapses, on the monotonic clock.
+    /// When the record expires, on the monotonic clock.
     expires: Duration,
 }
 
@@ -50,7 +51,7 @@
         !self.is_expired(now) && self.record.is_quarantined()
     }
 
-    /// Whether anything still counts against it.
+    /// Whether it has not expired and has a crash that is not cleared.
     pub(crate) fn is_active(&self, now: Duration) -> bool {
         !self.is_expired(now) && self.record.crashes_count() > 0
     }
@@ -59,8 +60,8 @@
         self.record.crashes_count()
     }
 
-    /// The order in which records are told and kept: quarantined ones first,
-    /// then by how likely they are to blame.
+    /// Priority for gossip and against eviction: quarantined fingerprints first, then by how
+    /// likely they caused the crashes.
     pub(crate) fn priority(&self) -> (bool, u32) {
         (self.record.is_quarantined(), self.record.score_milli())
     }
@@ -69,12 +70,12 @@
         self.expires
     }
 
-    /// Time until it lapses.
+    /// Time until it expires.
     pub(crate) fn remaining(&self, now: Duration) -> Duration {
         self.expires.saturating_sub(now)
     }
 
-    /// The record, as it is told to others.
+    /// The record as it is sent to other nodes, with the time until it expires.
     pub(crate) fn record(&self, now: Duration) -> QuarantineRecord {
         QuarantineRecord {
             remaining_ms: self.remaining(now).as_millis() as u32,
@@ -82,13 +83,13 @@
         }
     }
 
-    /// Adds a crash that this node saw.
+    /// Adds a crash that this node detected.
     pub(crate) fn add_crash(&mut self, now: Duration, crash: Crash) {
         self.merge_crash(crash);
-        self.expires = self.expires.max(now + self.lifetime());
+        self.expires = self.expires.max(now + self.duration());
     }
 
-    fn lifetime(&self) -> Duration {
+    fn duration(&self) -> Duration {
         if self.record.is_quarantined() {
             QUARANTINE_DURATION
         } else {
@@ -96,7 +97,9 @@
         }
     }
 
-    /// Takes in what another node knows.
+    /// Merges the record of another node.
+    ///
+    /// If this quarantines the fingerprint, the entry expires [`QUARANTINE_DURATION`] from now.
     pub(crate) fn merge(&mut self, now: Duration, other: &QuarantineRecord) {
         let was_quarantined = self.record.is_quarantined();
         for crash in other
@@ -119,8 +122,8 @@
     fn merge_crash(&mut self, crash: Crash) {
         let crashes = &mut self.record.crashes;
         match crashes.binary_search_by_key(&crash.id, |known| known.id) {
-            Ok(place) => crashes[place].is_cleared |= crash.is_cleared,
-            Err(place) => crashes.insert(place, crash),
+            Ok(index) => crashes[index].is_cleared |= crash.is_cleared,
+            Err(index) => crashes.insert(index, crash),
         }
         if crashes.len() > QuarantineRecord::CRASHES_LIMIT_COUNT {
             let cleared = crashes.iter().position(|known| known.is_cleared);
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Counts none of the crashes known so far any more.
+    /// Clears all crashes known so far: they no longer count.
     pub(crate) fn clear(&mut self) {
         for crash in &mut self.record.crashes {
             crash.is_cleared = true;
--- a/crates/kumquatquay-core/src/quarantine/quarantine_table.rs
+++ b/crates/kumquatquay-core/src/quarantine/quarantine_table.rs
@@ -1,4 +1,4 @@
-//! Requests that crash what runs them: what is known.
+//! State of the quarantine at one node.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -13,71 +13,70 @@
 };
 use crate::WorkId;
 
-/// Fingerprints that one node keeps records of.
+/// Most fingerprints with an entry at one node.
 const ENTRIES_LIMIT_COUNT: usize = 1_024;
 
-/// Requests that crash what runs them.
+/// Requests that are suspected of crashing backend servers, and what led to the suspicion.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QuarantineTable {
-    records: BTreeMap<(ServiceName, Fingerprint), QuarantineEntry>,
-    /// Suspects that the backend server of this host runs.
+    entries: BTreeMap<(ServiceName, Fingerprint), QuarantineEntry>,
+    /// Suspects that the backend server of this host is running.
     pub(crate) running_suspects: BTreeMap<WorkId, Fingerprint>,
-    /// Work whose connection broke lately, on the monotonic clock.
+    /// Work whose connection broke recently, with the time on the monotonic clock.
     pub(crate) broken_work: VecDeque<(Duration, InFlightRequest)>,
-    /// Work that was in flight at a death that is known. It ends later, and must
-    /// not be counted at the next death, nor at a second notice of the same one:
-    /// every bystander would be quarantined.
+    /// Work in flight at a death that has been counted. It ends only later; counting it again
+    /// at the next death, or at a second report of the same one, would quarantine unrelated
+    /// requests.
     pub(crate) counted_work: BTreeSet<WorkId>,
-    /// Calls of this node that broke lately.
+    /// Recent calls of this node whose connection broke.
     pub(crate) broken_calls: BrokenCalls,
-    /// Service of this host, also after its backend server is gone.
+    /// Service of this host; kept when its backend server is gone.
     pub(crate) service: Option<ServiceName>,
-    /// Deaths of the backend server in this life of the node.
+    /// Deaths of the backend server since the node's start, with requests in flight.
     pub(crate) deaths_count: u32,
-    /// When lapsed records were last dropped, on the monotonic clock.
+    /// When expired entries were last removed, on the monotonic clock.
     pub(crate) last_sweep: Duration,
 }
 
 impl QuarantineTable {
     pub(crate) fn get(&self, service: &str, fingerprint: Fingerprint) -> Option<&QuarantineEntry> {
-        if self.records.is_empty() {
+        if self.entries.is_empty() {
             return None;
         }
-        self.records.get(&(String::from(service), fingerprint))
+        self.entries.get(&(String::from(service), fingerprint))
     }
 
-    /// The record to change; a new one if none is known.
+    /// The entry of a fingerprint; a new one if there is none.
     ///
-    /// Without room the one that weighs least is dropped, of several the one
-    /// that lapses first: bystanders go before requests that are to blame.
-    pub(crate) fn get_mut(
+    /// If the table is full, the entry of the lowest priority is evicted, of several the one
+    /// that expires first: unrelated requests go before likely causes of a crash.
+    pub(crate) fn get_or_insert(
         &mut self,
         service: &ServiceName,
         fingerprint: Fingerprint,
     ) -> &mut QuarantineEntry {
         let key = (service.clone(), fingerprint);
-        if self.records.len() >= ENTRIES_LIMIT_COUNT && !self.records.contains_key(&key) {
+        if self.entries.len() >= ENTRIES_LIMIT_COUNT && !self.entries.contains_key(&key) {
             self.evict_lowest_priority();
         }
         let new = || QuarantineEntry::new(service.clone(), fingerprint);
-        self.records.entry(key).or_insert_with(new)
+        self.entries.entry(key).or_insert_with(new)
     }
 
     fn evict_lowest_priority(&mut self) {
-        let weighed = self.records.iter();
-        let least = weighed.min_by_key(|(_, record)| (record.priority(), record.expires()));
+        let entries = self.entries.iter();
+        let least = entries.min_by_key(|(_, entry)| (entry.priority(), entry.expires()));
         if let Some(key) = least.map(|(key, _)| key.clone()) {
-            self.records.remove(&key);
+            self.entries.remove(&key);
         }
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = &QuarantineEntry> {
-        self.records.values()
+        self.entries.values()
     }
 
-    /// Drops what has lapsed.
-    pub(crate) fn sweep(&mut self, now: Duration) {
-        self.records.retain(|_, record| !record.is_expired(now));
-        self.broken_calls.sweep(now);
+    pub(crate) fn remove_expired(&mut self, now: Duration) {
+        self.entries.retain(|_, entry| !entry.is_expired(now));
+        self.broken_calls.remove_expired(now);
     }
 }
