--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -42,8 +42,8 @@
     "the caller exceeds the rate limit that its intent sets",
 );
 
-/// Queues or refuses work that arrived from another node or from this one, and runs what has
-/// room.
+/// Queues or refuses work that arrived from another node or from this one, and runs queued work
+/// while slots are free.
 pub(super) fn on_arrived(
     board: &mut Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/gate/controller.rs
+++ b/crates/kumquatquay-core/src/gate/controller.rs
@@ -81,14 +81,14 @@
         board
             .gate
             .level_controller
-            .on_utilization(board.gate.running.len(), limit_count);
-        let queue_count = queue_limit_count(board);
-        let room = GateCapacity {
+            .on_utilisation(board.gate.running.len(), limit_count);
+        let queue_limit_count = queue_limit_count(board);
+        let capacity = GateCapacity {
             limit_count,
-            queue_count,
+            queue_limit_count,
             run_time_s,
         };
-        board.gate.level_controller.on_tick(now.monotonic, room);
+        board.gate.level_controller.on_tick(now.monotonic, capacity);
     }
     run_waiting(board, now, out);
 }
--- a/crates/kumquatquay-core/src/overload/controller.rs
+++ b/crates/kumquatquay-core/src/overload/controller.rs
@@ -1,4 +1,4 @@
-//! Ledgers, retry allowance, levels and routing: what is decided.
+//! Levels of services: observation, gossip and admission of calls.
 
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
@@ -11,17 +11,17 @@
 };
 use crate::{Blackboard, Moment, Output};
 
-/// How often lapsed ledgers and targets are cleared away.
+/// How often expired ledgers and departed endpoints are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a change of the own level to open is told.
-const TOLD_AFTER_CHANGE: Duration = Duration::from_secs(2);
+/// Time for which the own level is gossiped after it has fallen to admit all requests.
+const GOSSIP_AFTER_CHANGE: Duration = Duration::from_secs(2);
 
-/// Time without answers after which rumours of a level count.
-const RUMOUR_AFTER: Duration = Duration::from_millis(600);
+/// Minimum age of the last observation of a level for a rumour about it to be accepted.
+const MIN_AGE_FOR_RUMOUR: Duration = Duration::from_millis(600);
 
-/// Levels that one node tells at a time.
-const TOLD_LIMIT_COUNT: usize = 8;
+/// Maximum number of levels that a node gossips at a time.
+const MAX_GOSSIPED_LEVELS_COUNT: usize = 8;
 
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, _out: &mut Vec<Output>) {
     let now = now.monotonic;
@@ -33,10 +33,10 @@
     remove_departed_endpoints(board);
 }
 
-/// Forgets backend servers that are gone, once nothing is out there.
+/// Removes endpoints that are no longer members and have no outstanding calls.
 fn remove_departed_endpoints(board: &mut Blackboard) {
-    let is_crowded = board.overload.endpoints.len() > board.members.iter().count();
-    if !is_crowded {
+    let may_have_departed = board.overload.endpoints.len() > board.members.iter().count();
+    if !may_have_departed {
         return;
     }
     let peers: BTreeSet<_> = board.members.iter().map(|member| member.peer).collect();
@@ -44,54 +44,59 @@
     endpoints.retain(|peer, endpoint| endpoint.outstanding_count > 0 || peers.contains(peer));
 }
 
-/// Takes in a level that another node tells of.
+/// Handles a level that another node gossips.
 pub(crate) fn on_level_rumour(board: &mut Blackboard, now: Moment, level: ServiceLevel) {
-    if !is_answered_for(board, now.monotonic, &level) {
+    if !has_recent_observation(board, now.monotonic, &level) {
         observe_levels(board, now.monotonic, &[level]);
     }
 }
 
-/// Whether answers told of a level lately. They come from all gates; a rumour
-/// comes only from those that refuse, and would close a service that has room.
-fn is_answered_for(board: &Blackboard, now: Duration, level: &ServiceLevel) -> bool {
+/// Whether a level was observed so recently that rumours about it are ignored.
+///
+/// Answers come from all gates, but rumours only from gates that refuse; they would close a
+/// service that has free capacity.
+fn has_recent_observation(board: &Blackboard, now: Duration, level: &ServiceLevel) -> bool {
     let known = board.overload.services.id(&level.service);
     let Some(id) = known else {
         return false;
     };
     let mut levels = board.overload.services.get(id).levels.iter();
     let known = levels.find(|known| known.data_centre == level.data_centre);
-    known.is_some_and(|known| known.age(now) < RUMOUR_AFTER)
+    known.is_some_and(|known| known.age(now) < MIN_AGE_FOR_RUMOUR)
 }
 
-/// Takes in the level of one gate from its own answer: what the service admits is
-/// the least that any of its gates asked for lately.
+/// Records the level of a gate from its own answer; the observed level of the service is the
+/// lowest recent level of its gates in that data centre.
 ///
-/// One slow backend server fills its gate, refuses and raises its level, while its
-/// peers have room. An average would refuse callers at the entry that the peers
-/// could serve; calls that the slow one refuses are made again there.
+/// A single slow backend server fills its gate, which refuses calls and raises its level, while
+/// its peers have free capacity. With the average of the levels the entry would refuse requests
+/// that the peers could serve; with the lowest one, calls that the slow one refuses are retried
+/// at the peers.
 pub(crate) fn observe_gate_level(
     board: &mut Blackboard,
     now: Duration,
     peer: SocketAddr,
-    told: &ServiceLevel,
+    level: &ServiceLevel,
 ) {
     let overload = &mut board.overload;
     let Some(endpoint) = overload.endpoints.get_mut(&peer) else {
         return;
     };
-    endpoint.on_level(now, told.least_admitted);
-    let candidates = board.members.candidates(&told.service).iter();
-    let beside = candidates.filter(|candidate| candidate.data_centre == told.data_centre);
-    let endpoints = beside.filter_map(|candidate| overload.endpoints.get(&candidate.peer));
+    endpoint.on_level(now, level.least_admitted);
+    let candidates = board.members.candidates(&level.service).iter();
+    let same_data_centre =
+        candidates.filter(|candidate| candidate.data_centre == level.data_centre);
+    let endpoints =
+        same_data_centre.filter_map(|candidate| overload.endpoints.get(&candidate.peer));
     let levels = endpoints.filter_map(|endpoint| endpoint.level(now));
-    let least = levels.min().unwrap_or(told.least_admitted);
-    if let Some(id) = overload.services.get_or_insert_id(&told.service) {
+    let lowest = levels.min().unwrap_or(level.least_admitted);
+    if let Some(id) = overload.services.get_or_insert_id(&level.service) {
         let service = overload.services.get_mut(id);
-        service.observe_level(&told.data_centre, least, now);
+        service.observe_level(&level.data_centre, lowest, now);
     }
 }
 
-/// Takes in levels from an answer or a rumour; says which services they name.
+/// Records levels from an answer or a rumour; returns the services that they name.
 pub(crate) fn observe_levels(
     board: &mut Blackboard,
     now: Duration,
@@ -113,7 +118,7 @@
     named
 }
 
-/// Levels that this node has to tell others: its own, then those it learnt.
+/// Levels that this node gossips: its own, then those that it has observed.
 pub(crate) fn levels_to_gossip(board: &Blackboard, now: Moment) -> Vec<ServiceLevel> {
     if !board.settings.policy.has_levels {
         return Vec::new();
@@ -121,18 +126,18 @@
     let now = now.monotonic;
     let own = own_level(board).filter(|level| {
         let changed = board.gate.level_controller.last_change();
-        let is_news = changed.is_some_and(|at| now.saturating_sub(at) < TOLD_AFTER_CHANGE);
-        is_news || level.least_admitted > Importance::LEAST
+        let is_recent = changed.is_some_and(|at| now.saturating_sub(at) < GOSSIP_AFTER_CHANGE);
+        is_recent || level.least_admitted > Importance::LEAST
     });
-    let learnt = board.overload.services.iter();
-    let learnt = learnt.flat_map(|service| known_levels(service, now, false));
+    let observed = board.overload.services.iter();
+    let observed = observed.flat_map(|service| known_levels(service, now, false));
     own.into_iter()
-        .chain(learnt)
-        .take(TOLD_LIMIT_COUNT)
+        .chain(observed)
+        .take(MAX_GOSSIPED_LEVELS_COUNT)
         .collect()
 }
 
-/// Level of the backend server of this host.
+/// Level of the gate of this host; `None` if no backend server is announced.
 pub(crate) fn own_level(board: &Blackboard) -> Option<ServiceLevel> {
     let service = board.members.own().service.clone()?;
     Some(ServiceLevel {
@@ -143,8 +148,8 @@
     })
 }
 
-/// What this node passes on of a service: levels that refuse something and
-/// that somebody confirmed lately, or all of them.
+/// Observed levels of a service: those that refuse requests and have not expired, or all of
+/// them if `includes_all` is set.
 pub(crate) fn known_levels(
     service: &Service,
     now: Duration,
@@ -162,7 +167,8 @@
         })
 }
 
-/// The first service of a route that would refuse this importance everywhere.
+/// Returns the first of the called service and those that the route reaches which admits this
+/// importance in no data centre.
 pub(crate) fn refusing_service(
     board: &Blackboard,
     now: Duration,
@@ -179,7 +185,8 @@
     services.find(|id| !is_admitted(board, now, *id, importance))
 }
 
-/// Whether a service admits this importance in some data centre.
+/// Whether a service admits this importance in at least one data centre; also true if it has no
+/// known backend server.
 pub(crate) fn is_admitted(
     board: &Blackboard,
     now: Duration,
@@ -198,7 +205,7 @@
             .any(|candidate| service.admits(&candidate.data_centre, now, importance, jitter))
 }
 
-/// The highest level of a service, for the time to come back.
+/// Highest level of a service over all data centres, used to compute `Retry-After`.
 pub(crate) fn highest_level(service: &Service) -> Importance {
     let levels = service.levels.iter().map(ObservedLevel::least_admitted);
     levels.max().unwrap_or(Importance::LEAST)
--- a/crates/kumquatquay-core/src/overload/endpoint.rs
+++ b/crates/kumquatquay-core/src/overload/endpoint.rs
@@ -1,61 +1,61 @@
-//! What a node knows of one backend server from its own calls.
+//! Endpoint: a backend server as this node's own calls see it.
 
 use std::time::Duration;
 
 use kumquatquay_wire::{Importance, Incarnation, LoadReport};
 
-/// Weight of a new result against the ones before.
+/// Weight of a new result in the moving averages.
 const NEW_WEIGHT: f64 = 0.2;
 
-/// Results before a backend server can look bad.
-const RESULTS_LEAST_COUNT: u32 = 8;
+/// Minimum number of results for outlier detection.
+const MIN_RESULTS_COUNT: u32 = 8;
 
-/// A backend server that fails more than this share looks bad.
-const FAILED_RATIO: f64 = 0.5;
+/// An endpoint whose failure rate is above this share is an outlier.
+const OUTLIER_FAILURE_RATIO: f64 = 0.5;
 
-/// A backend server this many times slower than its service looks bad.
-const SLOW_RATIO: f64 = 3.0;
+/// An endpoint whose latency exceeds that of its service by this factor is an outlier.
+const OUTLIER_LATENCY_RATIO: f64 = 3.0;
 
-/// How long a load report counts.
-const LOAD_LAPSE: Duration = Duration::from_secs(1);
+/// Time for which a reported load or level is used.
+const LOAD_LIFETIME: Duration = Duration::from_secs(1);
 
-/// How long an answer that says that the host is leaving counts.
-const LEAVING_LAPSE: Duration = Duration::from_secs(5);
+/// Time for which an endpoint counts as leaving after an answer that says so.
+const LEAVING_LIFETIME: Duration = Duration::from_secs(5);
 
-/// How long a backend server is left out once it looks bad.
-const EJECTION: Duration = Duration::from_secs(5);
+/// Duration of the first ejection; the n-th one lasts n times as long.
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// The longest time that a backend server is left out in a row.
-const EJECTION_LONGEST: Duration = Duration::from_secs(60);
+/// Maximum duration of an ejection.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
-/// How long a new backend server gets less than its share.
-const SLOW_START: Duration = Duration::from_secs(10);
+/// Length of slow start, in which a new endpoint gets less than its share of the calls.
+const SLOW_START_TIME: Duration = Duration::from_secs(10);
 
-/// The share that a new backend server starts with.
-const SLOW_START_RATIO: f64 = 0.1;
+/// Part of its share that an endpoint gets at the beginning of slow start.
+const MIN_SLOW_START_RATIO: f64 = 0.1;
 
-/// One backend server, as this node's own calls see it.
+/// A backend server as this node's own calls see it, for load balancing and outlier detection.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     incarnation: Incarnation,
-    /// Calls that this node has out there.
+    /// Attempts of this node that are under way at the endpoint.
     pub(crate) outstanding_count: u32,
     latency_s: f64,
     failed_ratio: f64,
     results_count: u32,
     load_ratio: f64,
     load_reported: Duration,
-    /// The level of its gate, and when it told it.
+    /// Last reported level of its gate, and when it was received.
     level: Option<(Importance, Duration)>,
     leaving_until: Duration,
     is_reported_ill: bool,
     ejections_count: u32,
-    /// Since when it takes calls, as far as slow start is concerned.
-    since: Duration,
+    /// Begin of slow start, on the monotonic clock; zero for no slow start.
+    slow_start_from: Duration,
 }
 
 impl Endpoint {
-    pub(crate) fn new(incarnation: Incarnation, since: Duration) -> Self {
+    pub(crate) fn new(incarnation: Incarnation, slow_start_from: Duration) -> Self {
         Self {
             incarnation,
             outstanding_count: 0,
@@ -68,24 +68,25 @@
             leaving_until: Duration::ZERO,
             is_reported_ill: false,
             ejections_count: 0,
-            since,
+            slow_start_from,
         }
     }
 
-    /// Whether what is known belongs to an earlier life.
+    /// Whether this state belongs to another incarnation of the node.
     pub(crate) fn has_other_incarnation(&self, incarnation: Incarnation) -> bool {
         self.incarnation != incarnation
     }
 
     pub(crate) fn on_load_report(&mut self, now: Duration, load: LoadReport) {
-        let asked_count = load.in_flight_count + load.queued_count;
-        self.load_ratio = f64::from(asked_count) / f64::from(load.limit_count.max(1));
+        let requests_count = load.in_flight_count + load.queued_count;
+        self.load_ratio = f64::from(requests_count) / f64::from(load.limit_count.max(1));
         self.load_reported = now;
         self.is_reported_ill = load.is_reported_ill;
     }
 
-    /// Whether its own health endpoint last said that it is ill. Such reports
-    /// lag and mislead, so they only break ties.
+    /// Whether the health endpoint of the backend server last reported that it is unhealthy.
+    ///
+    /// Such reports are late and can be wrong, so they only break ties.
     pub(crate) fn is_reported_ill(&self) -> bool {
         self.is_reported_ill
     }
@@ -94,18 +95,23 @@
         self.level = Some((level, now));
     }
 
-    /// The level of its gate, if it told it lately.
+    /// Level of its gate, if it was reported recently.
     pub(crate) fn level(&self, now: Duration) -> Option<Importance> {
-        let told = self
+        let recent = self
             .level
-            .filter(|(_, at)| now.saturating_sub(*at) < LOAD_LAPSE);
-        told.map(|(level, _)| level)
+            .filter(|(_, at)| now.saturating_sub(*at) < LOAD_LIFETIME);
+        recent.map(|(level, _)| level)
     }
 
-    /// Takes in whether its answer says that it is leaving. Gossip says so too,
-    /// a little later; until then calls would be refused one by one.
+    /// Records whether an answer reports that the endpoint is leaving.
+    ///
+    /// Gossip reports it too, but a little later; until then each call there would be refused.
     pub(crate) fn on_leaving(&mut self, now: Duration, is_leaving: bool) {
-        self.leaving_until = if is_leaving { now + LEAVING_LAPSE } else { now };
+        self.leaving_until = if is_leaving {
+            now + LEAVING_LIFETIME
+        } else {
+            now
+        };
     }
 
     pub(crate) fn is_leaving(&self, now: Duration) -> bool {
@@ -130,28 +136,31 @@
         self.results_count = self.results_count.saturating_add(1);
     }
 
-    /// Whether it looks bad beside the average of its service.
+    /// Whether the endpoint is an outlier: it fails often, or is slow compared with its
+    /// service.
     pub(crate) fn is_outlier(&self, service_latency_s: f64) -> bool {
-        if self.results_count < RESULTS_LEAST_COUNT {
+        if self.results_count < MIN_RESULTS_COUNT {
             return false;
         }
-        let is_slow = self.latency_s > SLOW_RATIO * service_latency_s;
-        is_slow || self.failed_ratio > FAILED_RATIO
+        let is_slow = self.latency_s > OUTLIER_LATENCY_RATIO * service_latency_s;
+        is_slow || self.failed_ratio > OUTLIER_FAILURE_RATIO
     }
 
-    /// Leaves it out; says until when. It starts afresh, slowly, after that.
+    /// Ejects the endpoint and returns the end of the ejection, at which it begins a slow start
+    /// with reset statistics.
     pub(crate) fn eject(&mut self, now: Duration) -> Duration {
         self.ejections_count += 1;
-        let ejection = EJECTION.saturating_mul(self.ejections_count);
-        let until = now + ejection.min(EJECTION_LONGEST);
+        let ejection = BASE_EJECTION_TIME.saturating_mul(self.ejections_count);
+        let until = now + ejection.min(MAX_EJECTION_TIME);
         self.latency_s = 0.0;
         self.failed_ratio = 0.0;
         self.results_count = 0;
-        self.since = until;
+        self.slow_start_from = until;
         until
     }
 
-    /// How long a call sent now would take, for comparison; lower is better.
+    /// Estimated relative latency of a call that is sent now; the endpoint with the lower cost
+    /// is preferred.
     pub(crate) fn cost(&self, now: Duration, service_latency_s: f64, slots_count: u32) -> f64 {
         let is_measured = self.latency_s > 0.0;
         let latency_s = if is_measured {
@@ -159,19 +168,20 @@
         } else {
             service_latency_s
         };
-        let is_told = now.saturating_sub(self.load_reported) < LOAD_LAPSE;
-        let load_ratio = if is_told { self.load_ratio } else { 0.0 };
+        let is_load_recent = now.saturating_sub(self.load_reported) < LOAD_LIFETIME;
+        let load_ratio = if is_load_recent { self.load_ratio } else { 0.0 };
         let own_ratio = f64::from(self.outstanding_count + 1) / f64::from(slots_count.max(1));
-        let work = (own_ratio + load_ratio) * latency_s.max(1e-6);
-        work / self.share(now)
+        let expected_latency = (own_ratio + load_ratio) * latency_s.max(1e-6);
+        expected_latency / self.slow_start_ratio(now)
     }
 
-    /// The share of its calls that a backend server gets while it is new.
-    fn share(&self, now: Duration) -> f64 {
-        if self.since.is_zero() {
+    /// Part of its share of the calls that the endpoint gets, from slow start: 1 when it is
+    /// over.
+    fn slow_start_ratio(&self, now: Duration) -> f64 {
+        if self.slow_start_from.is_zero() {
             return 1.0;
         }
-        let age = now.saturating_sub(self.since).as_secs_f64();
-        (age / SLOW_START.as_secs_f64()).clamp(SLOW_START_RATIO, 1.0)
+        let age = now.saturating_sub(self.slow_start_from).as_secs_f64();
+        (age / SLOW_START_TIME.as_secs_f64()).clamp(MIN_SLOW_START_RATIO, 1.0)
     }
 }
--- a/crates/kumquatquay-core/src/overload/generational_cache.rs
+++ b/crates/kumquatquay-core/src/overload/generational_cache.rs
@@ -1,19 +1,19 @@
-//! A bounded map that forgets what was not used lately.
+//! A bounded map that evicts entries that were not used recently.
 
 use std::{collections::HashMap, hash::Hash, mem};
 
-/// A map of bounded size, in two generations.
+/// A map of bounded size with two generations, as an approximation of an LRU cache.
 ///
-/// When the young generation holds half of the limit, it becomes the old one
-/// and the old one is dropped. What is used moves to the young generation, so
-/// an entry is dropped only after at least half the limit of other entries was
-/// used since. Each operation takes constant time, also under a flood of new
-/// keys, which a scan for the oldest entry would not.
+/// When the young generation holds half of the limit, it becomes the old generation and the
+/// previous old one is dropped. An entry that is used moves to the young generation, so that it
+/// is dropped only after other entries numbering at least half of the limit were used. Each
+/// operation takes amortised constant time even if many new keys arrive, unlike a scan for the
+/// oldest entry.
 #[derive(Debug)]
 pub(crate) struct GenerationalCache<K, V> {
     young: HashMap<K, V>,
     old: HashMap<K, V>,
-    half_limit_count: usize,
+    generation_limit_count: usize,
 }
 
 impl<K: Eq + Hash + Copy, V> GenerationalCache<K, V> {
@@ -21,29 +21,29 @@
         Self {
             young: HashMap::new(),
             old: HashMap::new(),
-            half_limit_count: limit_count / 2,
+            generation_limit_count: limit_count / 2,
         }
     }
 
-    /// The value of a key, without counting as use.
+    /// Returns the value of a key without marking it as used.
     pub(crate) fn peek(&self, key: K) -> Option<&V> {
         self.young.get(&key).or_else(|| self.old.get(&key))
     }
 
-    /// The value of a key, as use.
+    /// Returns the value of a key and marks it as used.
     pub(crate) fn get_mut(&mut self, key: K) -> Option<&mut V> {
         if let Some(value) = self.old.remove(&key) {
-            self.make_room();
+            self.rotate_if_full();
             self.young.insert(key, value);
         }
         self.young.get_mut(&key)
     }
 
-    /// The value of a key, made anew if it is not known.
+    /// Returns the value of a key, inserting `new()` if there is none, and marks it as used.
     pub(crate) fn get_or_insert_with(&mut self, key: K, new: impl FnOnce() -> V) -> &mut V {
         if !self.young.contains_key(&key) {
             let value = self.old.remove(&key).unwrap_or_else(new);
-            self.make_room();
+            self.rotate_if_full();
             self.young.insert(key, value);
         }
         self.young
@@ -55,8 +55,8 @@
         self.young.values().chain(self.old.values())
     }
 
-    fn make_room(&mut self) {
-        if self.young.len() >= self.half_limit_count {
+    fn rotate_if_full(&mut self) {
+        if self.young.len() >= self.generation_limit_count {
             self.old = mem::take(&mut self.young);
         }
     }
--- a/crates/kumquatquay-core/src/overload/ledger.rs
+++ b/crates/kumquatquay-core/src/overload/ledger.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of one request while a part of it runs on its host.
+//! Ledger of a root request at one node.
 
 use std::time::Duration;
 
@@ -7,44 +7,45 @@
 use super::{retry_allowance::RetryAllowance, service_table::ServiceId};
 use crate::CallId;
 
-/// Services that a ledger remembers; a subtree that touches more names these.
-const TOUCHED_LIMIT_COUNT: usize = 32;
+/// Maximum number of reached services in a ledger; further ones are not reported.
+const MAX_REACHED_SERVICES_COUNT: usize = 32;
 
-/// What a node keeps of one request while a part of it runs on its host.
+/// Bookkeeping of one node on a root request, while a part of the request runs on its host:
+/// identity and deadline, retries, outgoing calls and the services that they reach.
 #[derive(Clone, Debug)]
 pub(crate) struct Ledger {
-    /// Trace that the request belongs to.
+    /// Trace id of the request.
     pub(crate) trace: TraceId,
-    /// The request, as its entry named it.
+    /// Id that the entry gave to the request.
     pub(crate) request: RequestId,
-    /// The caller at the entry.
+    /// Caller of the root request.
     pub(crate) caller: CallerName,
-    /// Importance given at the entry.
+    /// Importance that the entry assigned.
     pub(crate) importance: Importance,
-    /// When the answer must be there, on the monotonic clock.
+    /// Deadline of the answer, on the monotonic clock.
     pub(crate) deadline: Duration,
-    /// Retries left.
+    /// Retry allowance held by this node.
     pub(crate) allowance: RetryAllowance,
-    /// Calls between the entry and this host.
+    /// Number of calls between the entry and this host.
     pub(crate) depth_count: u8,
-    /// Whether each call has to be paid, because an earlier attempt of this
-    /// subtree may have made the calls of a clean run.
+    /// Whether an earlier attempt of this subtree may have run, so that each call is charged to
+    /// the allowance, even if it is a first attempt.
     pub(crate) is_repeat: bool,
-    /// Whether the answer should name every service touched.
+    /// Whether the answer should name all services that were reached.
     pub(crate) wants_services: bool,
-    /// Attempts made so far by the subtree that no allowance paid for; the
-    /// greatest number once an answer was lost, since nobody knows any more.
+    /// Attempts of the subtree so far that were not charged to an allowance;
+    /// [`AnswerContext::ATTEMPTS_UNKNOWN`] once an answer was lost.
     pub(crate) attempts_count: u16,
-    /// Services touched so far by the subtree.
+    /// Services that the subtree has reached so far.
     pub(crate) reached_services: Vec<ServiceId>,
-    /// Calls that are out.
+    /// Outgoing calls under way.
     pub(crate) outgoing_calls: Vec<CallId>,
-    /// How long calls have been out.
+    /// Time with outgoing calls under way.
     pub(crate) outgoing_call_time: OutgoingCallTime,
 }
 
 impl Ledger {
-    /// The ledger of a whole request, at the node where it begins.
+    /// Creates the ledger of a root request, at the node where it begins.
     pub(crate) fn new(
         trace: TraceId,
         request: RequestId,
@@ -70,9 +71,9 @@
         }
     }
 
-    /// The ledger of a part that another node sent.
+    /// Creates the ledger of a part of a request that another node sent.
     pub(crate) fn from_context(context: &RequestContext, deadline: Duration) -> Self {
-        let whole = Self::new(
+        let ledger = Self::new(
             context.trace,
             context.request,
             context.caller.clone(),
@@ -84,65 +85,65 @@
             depth_count: context.depth_count,
             is_repeat: context.is_repeat,
             wants_services: context.wants_services,
-            ..whole
+            ..ledger
         }
     }
 
-    /// Adds free attempts that a callee's subtree made, if it is known how many.
+    /// Adds attempts that were not charged to an allowance; `None` if their number is unknown.
     pub(crate) fn add_attempts(&mut self, made_count: Option<u16>) {
         let made_count = made_count.unwrap_or(AnswerContext::ATTEMPTS_UNKNOWN);
         self.attempts_count = self.attempts_count.saturating_add(made_count);
     }
 
-    /// Takes off free attempts that were paid for later.
+    /// Subtracts attempts that are charged to the allowance now, with a retry.
     pub(crate) fn deduct_paid_attempts(&mut self, paid_count: u16) {
         if self.attempts_count != AnswerContext::ATTEMPTS_UNKNOWN {
             self.attempts_count = self.attempts_count.saturating_sub(paid_count);
         }
     }
 
-    /// Notes that the subtree touched a service.
+    /// Records that the subtree has reached a service.
     pub(crate) fn add_reached_service(&mut self, service: ServiceId) {
-        let has_room = self.reached_services.len() < TOUCHED_LIMIT_COUNT;
+        let has_room = self.reached_services.len() < MAX_REACHED_SERVICES_COUNT;
         if has_room && !self.reached_services.contains(&service) {
             self.reached_services.push(service);
         }
     }
 }
 
-/// Time during which a backend server waited for calls of its own.
+/// Time during which the backend server had outgoing calls under way.
 ///
-/// The gate takes it off the latency, so that a slow service further down does
-/// not look like a lack of room here.
+/// The gate subtracts it from the latency, so that a slow callee does not look like a lack of
+/// capacity of this backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutgoingCallTime {
-    calls_out_count: u32,
-    since: Duration,
+    outgoing_count: u32,
+    busy_since: Duration,
     total: Duration,
 }
 
 impl OutgoingCallTime {
-    /// A call goes out.
+    /// Records the start of an outgoing call.
     pub(crate) fn on_call_started(&mut self, now: Duration) {
-        if self.calls_out_count == 0 {
-            self.since = now;
+        if self.outgoing_count == 0 {
+            self.busy_since = now;
         }
-        self.calls_out_count += 1;
+        self.outgoing_count += 1;
     }
 
-    /// A call was answered.
+    /// Records the end of an outgoing call.
     pub(crate) fn on_call_ended(&mut self, now: Duration) {
-        self.calls_out_count = self.calls_out_count.saturating_sub(1);
-        if self.calls_out_count == 0 {
-            self.total += now.saturating_sub(self.since);
+        self.outgoing_count = self.outgoing_count.saturating_sub(1);
+        if self.outgoing_count == 0 {
+            self.total += now.saturating_sub(self.busy_since);
         }
     }
 
-    /// All time with at least one call out.
+    /// Total time with at least one outgoing call under way.
     pub(crate) fn total(&self, now: Duration) -> Duration {
-        match self.calls_out_count {
+        match self.outgoing_count {
             0 => self.total,
-            _ => self.total + now.saturating_sub(self.since),
+            _ => self.total + now.saturating_sub(self.busy_since),
         }
     }
 }
--- a/crates/kumquatquay-core/src/overload/ledger_table.rs
+++ b/crates/kumquatquay-core/src/overload/ledger_table.rs
@@ -1,4 +1,4 @@
-//! The ledgers of requests of which a part runs on this host or enters here.
+//! Table of the ledgers at this node.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,17 +6,17 @@
 
 use super::Ledger;
 
-/// Ledgers that a node keeps; work and calls beyond it are refused.
-pub(crate) const LEDGERS_LIMIT_COUNT: usize = 65_536;
+/// Maximum number of ledgers; when it is reached, calls are refused.
+pub(crate) const MAX_LEDGERS_COUNT: usize = 65_536;
 
-/// Ledgers under one trace id that a lookup by trace considers.
-const SAME_TRACE_LIMIT_COUNT: usize = 16;
+/// Maximum number of ledgers with the same trace id that can be found by trace.
+const MAX_SAME_TRACE_COUNT: usize = 16;
 
-/// How long after its deadline a ledger is forgotten if its host never said
-/// that the work ended.
-const LAPSE_GRACE: Duration = Duration::from_secs(30);
+/// Time after its deadline at which a ledger expires, if the host has not reported the end of
+/// the work.
+const EXPIRY_GRACE: Duration = Duration::from_secs(30);
 
-/// Ledgers by token, and by trace for calls that come without their token.
+/// Ledgers by token, and by trace id for calls that arrive without a token.
 #[derive(Debug, Default)]
 pub(crate) struct LedgerTable {
     ledgers: HashMap<LedgerToken, Ledger>,
@@ -29,22 +29,23 @@
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.ledgers.len() >= LEDGERS_LIMIT_COUNT
+        self.ledgers.len() >= MAX_LEDGERS_COUNT
     }
 
-    /// Opens the ledger of work for the backend server; calls find it.
+    /// Inserts the ledger of work for the backend server, whose calls find it by token or trace
+    /// id.
     pub(crate) fn insert_for_work(&mut self, token: LedgerToken, ledger: Ledger) {
         let same_trace = self.by_trace.entry(ledger.trace).or_default();
-        if same_trace.len() < SAME_TRACE_LIMIT_COUNT {
+        if same_trace.len() < MAX_SAME_TRACE_COUNT {
             same_trace.push(token);
         }
         self.ledgers.insert(token, ledger);
     }
 
-    /// Opens the ledger of a call that entered here; only that call has it.
+    /// Inserts the ledger that belongs to a single call.
     ///
-    /// It is not found by trace: whoever sends the trace id of somebody else's
-    /// request from outside must not inherit anything from it.
+    /// It can't be found by trace id: a caller who uses the trace id of another request must
+    /// not inherit anything from that request.
     pub(crate) fn insert_for_call(&mut self, token: LedgerToken, ledger: Ledger) {
         self.ledgers.insert(token, ledger);
     }
@@ -57,12 +58,12 @@
         self.ledgers.get_mut(&token)
     }
 
-    /// The ledger of a call of the backend server: by the token that it passed
-    /// on, else by the trace.
+    /// Finds the ledger of a call of the backend server, by the token that it propagated or
+    /// else by trace id.
     ///
-    /// Several parts of one request, or of requests that share a trace id by a
-    /// caller's choice, may run here at once. The least important one is taken
-    /// then, so that sharing a trace id gains nobody anything.
+    /// Several parts of one request, or several requests to which callers gave the same trace
+    /// id, may run here at the same time. The least important one is chosen then, so that
+    /// sharing a trace id has no advantage.
     pub(crate) fn find(
         &self,
         token: Option<LedgerToken>,
@@ -85,11 +86,11 @@
         let open = tokens
             .iter()
             .filter_map(|token| Some((*token, self.ledgers.get(token)?)));
-        let least = open.min_by_key(|(_, ledger)| (ledger.importance, ledger.deadline));
-        least.map(|(token, _)| token)
+        let least_important = open.min_by_key(|(_, ledger)| (ledger.importance, ledger.deadline));
+        least_important.map(|(token, _)| token)
     }
 
-    /// Ends a ledger; calls that come later find none.
+    /// Removes a ledger; later calls can't find it.
     pub(crate) fn remove(&mut self, token: LedgerToken) -> Option<Ledger> {
         let ledger = self.ledgers.remove(&token)?;
         if let Some(same_trace) = self.by_trace.get_mut(&ledger.trace) {
@@ -101,12 +102,12 @@
         Some(ledger)
     }
 
-    /// Ends ledgers whose deadline passed long ago.
+    /// Removes the ledgers whose deadline passed more than [`EXPIRY_GRACE`] ago.
     pub(crate) fn remove_expired(&mut self, now: Duration) {
         let expired: Vec<_> = self
             .ledgers
             .iter()
-            .filter(|(_, ledger)| ledger.deadline + LAPSE_GRACE < now)
+            .filter(|(_, ledger)| ledger.deadline + EXPIRY_GRACE < now)
             .map(|(token, _)| *token)
             .collect();
         for token in expired {
--- a/crates/kumquatquay-core/src/overload/level_controller.rs
+++ b/crates/kumquatquay-core/src/overload/level_controller.rs
@@ -1,4 +1,4 @@
-//! How a gate sets the level of its service.
+//! Controls the admission level of a gate.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,102 +6,107 @@
 
 use super::class_set::ClassSet;
 
-/// How often the level is set at most.
-const WINDOW_LEAST: Duration = Duration::from_millis(100);
+/// Minimum length of a window.
+const MIN_WINDOW: Duration = Duration::from_millis(100);
 
-/// How often the level is set at least.
-const WINDOW_GREATEST: Duration = Duration::from_millis(500);
+/// Maximum length of a window.
+const MAX_WINDOW: Duration = Duration::from_millis(500);
 
-/// Arrivals that a window waits for.
-const WINDOW_ARRIVALS_COUNT: u32 = 32;
+/// Arrivals at which a window may end.
+const TARGET_ARRIVALS_COUNT: u32 = 32;
 
-/// Arrivals that are kept to find out what a level would refuse.
-const ARRIVALS_LIMIT_COUNT: usize = 256;
+/// Maximum number of recent arrivals that are kept to compute what a level would refuse.
+const MAX_ARRIVALS_COUNT: usize = 256;
 
-/// How long an arrival counts.
-const ARRIVALS_LAPSE: Duration = Duration::from_secs(1);
+/// Time for which an arrival counts as recent.
+const ARRIVALS_LIFETIME: Duration = Duration::from_secs(1);
 
-/// Mean wait, as a share of that in a full queue, above which work is shed.
+/// Mean wait, as a share of the wait in a full queue, above which the level is raised.
 const SHED_WAIT_RATIO: f64 = 0.7;
 
-/// Use of the limit below which more is admitted.
-const PROBE_BUSY_RATIO: f64 = 0.93;
+/// Utilisation of the limit below which the level is lowered even if some work was refused.
+const PROBE_UTILISATION_RATIO: f64 = 0.93;
 
-/// Use of the limit below which the band of a probe doubles.
-const IDLE_BUSY_RATIO: f64 = 0.6;
+/// Utilisation of the limit below which the step of the next probe doubles.
+const IDLE_UTILISATION_RATIO: f64 = 0.6;
 
-/// The use of the limit that is aimed at.
-const AIMED_BUSY_RATIO: f64 = 0.97;
+/// Target utilisation of the limit.
+const TARGET_UTILISATION_RATIO: f64 = 0.97;
 
-/// How much of a little room one window fills.
-const FILLED_LEAST_RATIO: f64 = 0.5;
+/// Share of the free capacity that one window fills if little is free.
+const MIN_FILL_RATIO: f64 = 0.5;
 
-/// How much of much room one window fills, as after the end of an overload.
-const FILLED_GREATEST_RATIO: f64 = 1.5;
+/// Share of the free capacity that one window fills if much is free, as after an overload.
+///
+/// It is above 1, so the level falls by more than the free capacity calls for.
+const MAX_FILL_RATIO: f64 = 1.5;
 
-/// Use of the limit at which there is much room.
-const ROOMY_BUSY_RATIO: f64 = 0.7;
+/// Utilisation of the limit below which much capacity counts as free.
+const LOW_UTILISATION_RATIO: f64 = 0.7;
 
-/// How much of a small excess one window sheds. Refusals come in bursts, and
-/// shedding all of one leaves room unused until it is probed for again.
-const GAIN_LEAST: f64 = 0.2;
+/// Share of a small excess that one window sheds.
+///
+/// Refusals come in bursts. Shedding a whole burst would leave capacity unused until further
+/// probes have lowered the level again.
+const MIN_GAIN: f64 = 0.2;
 
-/// How much of a great excess one window sheds.
-const GAIN_GREATEST: f64 = 0.7;
+/// Share of a large excess that one window sheds.
+const MAX_GAIN: f64 = 0.7;
 
-/// The least share of arrivals that one window sheds.
-const SHED_LEAST_RATIO: f64 = 0.02;
+/// Minimum share of the arrivals that one window sheds.
+const MIN_SHED_RATIO: f64 = 0.02;
 
-/// The greatest share of arrivals that one window sheds.
-const SHED_GREATEST_RATIO: f64 = 0.6;
+/// Maximum share of the arrivals that one window sheds.
+const MAX_SHED_RATIO: f64 = 0.6;
 
-/// How far a probe goes below the level at least: a 128th of a class.
-const FIRST_BAND: u32 = 512;
+/// Minimum and initial step of a probe, in cohorts: 1/128 of a class.
+const MIN_PROBE_STEP: u32 = 512;
 
-/// Sets the level of one gate's service from what the gate sees.
+/// Controller of the admission level of one gate, based on its refusals, waits and utilisation.
 ///
-/// It falls behind no surge: one window of refusals raises the level by the
-/// share that was refused. It recovers by probing: each window with room left
-/// lowers it by as many cohorts as should fill half of that room, and by a band
-/// that doubles where that says nothing, as between two classes.
+/// A window with too many refusals or long waits raises the level by a share of the refused
+/// work, so that it follows a surge quickly. Each window with free capacity lowers the level as
+/// a probe, by the number of cohorts that is expected to fill half of that capacity (more if
+/// much is free), and at least by a step. The step doubles while utilisation stays low, as when
+/// no requests arrive with importances just below the level, between two classes.
 #[derive(Debug)]
 pub(crate) struct LevelController {
     level: Importance,
-    band: u32,
+    probe_step: u32,
     last_change: Option<Duration>,
     window: Window,
-    window_began: Duration,
+    window_started: Duration,
     arrivals: VecDeque<(Duration, Importance)>,
     classes: ClassSet,
 }
 
-/// How much work a gate has room for.
+/// Capacity of a gate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GateCapacity {
-    /// Work that may run at the same time.
+    /// Maximum number of requests that run concurrently.
     pub(crate) limit_count: usize,
-    /// Work that may wait.
-    pub(crate) queue_count: usize,
-    /// Mean time to run work, in seconds.
+    /// Maximum number of requests in the queue.
+    pub(crate) queue_limit_count: usize,
+    /// Mean run time of a request, in seconds.
     pub(crate) run_time_s: f64,
 }
 
 impl GateCapacity {
-    /// The wait at the end of a full queue, in seconds.
+    /// Wait at the end of a full queue, in seconds.
     fn full_wait_s(self) -> f64 {
-        self.run_time_s * self.queue_count as f64 / self.limit_count.max(1) as f64
+        self.run_time_s * self.queue_limit_count as f64 / self.limit_count.max(1) as f64
     }
 
-    /// Share of arrivals that a gate refuses by chance when the load is just what
-    /// it can run: about that of a queue M/M/c/c+q at full load. Shedding for
-    /// these would leave slots idle.
-    fn tolerated_ratio(self) -> f64 {
+    /// Share of arrivals that a gate refuses by chance when the load equals its capacity,
+    /// approximated from an M/M/c/c+q queue. Raising the level because of these refusals would
+    /// leave slots idle.
+    fn tolerated_refusal_ratio(self) -> f64 {
         let spread = 1.25 * (self.limit_count as f64).sqrt();
-        1.0 / (self.queue_count as f64 + 1.0 + spread)
+        1.0 / (self.queue_limit_count as f64 + 1.0 + spread)
     }
 }
 
-/// What one window saw of work at or above the level.
+/// Counts of the work at or above the level in one window, and samples of the utilisation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     arrived_count: u32,
@@ -109,17 +114,17 @@
     started_count: u32,
     waited_s: f64,
     samples_count: u32,
-    busy_ratio: f64,
+    utilisation_ratio: f64,
 }
 
 impl Default for LevelController {
     fn default() -> Self {
         Self {
             level: Importance::LEAST,
-            band: FIRST_BAND,
+            probe_step: MIN_PROBE_STEP,
             last_change: None,
             window: Window::default(),
-            window_began: Duration::ZERO,
+            window_started: Duration::ZERO,
             arrivals: VecDeque::new(),
             classes: ClassSet::default(),
         }
@@ -127,19 +132,19 @@
 }
 
 impl LevelController {
-    /// The least importance admitted now.
+    /// The least importance that is admitted.
     pub(crate) fn level(&self) -> Importance {
         self.level
     }
 
-    /// Time since the level changed; `None` if it never did.
+    /// When the level last changed; `None` if it never did.
     pub(crate) fn last_change(&self) -> Option<Duration> {
         self.last_change
     }
 
-    /// Work arrived at the gate.
+    /// Records that work arrived at the gate.
     pub(crate) fn on_arrival(&mut self, now: Duration, importance: Importance) {
-        if self.arrivals.len() >= ARRIVALS_LIMIT_COUNT {
+        if self.arrivals.len() >= MAX_ARRIVALS_COUNT {
             self.arrivals.pop_front();
         }
         self.arrivals.push_back((now, importance));
@@ -149,87 +154,91 @@
         }
     }
 
-    /// The gate refused work for want of room, or its time ran out there.
+    /// Records that work was refused for lack of capacity, by the gate or the backend server,
+    /// or that its deadline passed at the gate.
     ///
-    /// Senders learn a new level with their next answer; what they sent before
-    /// is below it and must not raise it again.
+    /// Work below the level doesn't count: senders receive a new level only with their next
+    /// answer, and what they sent before must not raise it again.
     pub(crate) fn on_refused(&mut self, importance: Importance) {
         if importance >= self.level {
             self.window.refused_count += 1;
         }
     }
 
-    /// Work was handed over after this wait.
-    pub(crate) fn on_started(&mut self, importance: Importance, waited: Duration) {
+    /// Records that work was forwarded to the backend server after this wait.
+    pub(crate) fn on_started(&mut self, importance: Importance, wait: Duration) {
         if importance >= self.level {
             self.window.started_count += 1;
-            self.window.waited_s += waited.as_secs_f64();
+            self.window.waited_s += wait.as_secs_f64();
         }
     }
 
-    /// Notes how much of the limit is in use.
-    pub(crate) fn on_utilization(&mut self, running_count: usize, limit_count: usize) {
+    /// Records a sample of the utilisation of the limit.
+    pub(crate) fn on_utilisation(&mut self, running_count: usize, limit_count: usize) {
         self.window.samples_count += 1;
-        self.window.busy_ratio += running_count as f64 / limit_count.max(1) as f64;
+        self.window.utilisation_ratio += running_count as f64 / limit_count.max(1) as f64;
     }
 
-    /// Ends the window if it is time.
-    pub(crate) fn on_tick(&mut self, now: Duration, room: GateCapacity) {
-        let lasted = now.saturating_sub(self.window_began);
-        let run = Duration::from_secs_f64(room.run_time_s).clamp(WINDOW_LEAST, WINDOW_GREATEST);
-        let is_poor = self.window.arrived_count < WINDOW_ARRIVALS_COUNT;
-        if lasted < run || (is_poor && lasted < WINDOW_GREATEST) {
+    /// Adjusts the level if the window is over.
+    pub(crate) fn on_tick(&mut self, now: Duration, capacity: GateCapacity) {
+        let elapsed = now.saturating_sub(self.window_started);
+        let window_length =
+            Duration::from_secs_f64(capacity.run_time_s).clamp(MIN_WINDOW, MAX_WINDOW);
+        let has_few_arrivals = self.window.arrived_count < TARGET_ARRIVALS_COUNT;
+        if elapsed < window_length || (has_few_arrivals && elapsed < MAX_WINDOW) {
             return;
         }
-        self.window_began = now;
+        self.window_started = now;
         let window = std::mem::take(&mut self.window);
-        let busy_ratio = window.busy_ratio();
-        let has_waited = window.wait_ratio(room.full_wait_s()) > SHED_WAIT_RATIO;
-        let excess_ratio = window.refused_ratio() - room.tolerated_ratio();
-        if excess_ratio > 0.0 || has_waited {
+        let utilisation_ratio = window.utilisation_ratio();
+        let is_wait_long = window.wait_ratio(capacity.full_wait_s()) > SHED_WAIT_RATIO;
+        let excess_ratio = window.refused_ratio() - capacity.tolerated_refusal_ratio();
+        if excess_ratio > 0.0 || is_wait_long {
             self.raise(now, excess_ratio * gain_of(excess_ratio));
-        } else if busy_ratio < PROBE_BUSY_RATIO || window.refused_count == 0 {
-            self.probe(now, busy_ratio);
+        } else if utilisation_ratio < PROBE_UTILISATION_RATIO || window.refused_count == 0 {
+            self.probe(now, utilisation_ratio);
         }
     }
 
     fn raise(&mut self, now: Duration, refused_ratio: f64) {
-        let shed_ratio = refused_ratio.clamp(SHED_LEAST_RATIO, SHED_GREATEST_RATIO);
-        let lapse = ARRIVALS_LAPSE;
-        let counts = |(at, importance): &&(Duration, Importance)| {
-            *importance >= self.level && now.saturating_sub(*at) < lapse
+        let shed_ratio = refused_ratio.clamp(MIN_SHED_RATIO, MAX_SHED_RATIO);
+        let lifetime = ARRIVALS_LIFETIME;
+        let is_recent_and_admitted = |(at, importance): &&(Duration, Importance)| {
+            *importance >= self.level && now.saturating_sub(*at) < lifetime
         };
-        let recent = self.arrivals.iter().filter(counts);
+        let recent = self.arrivals.iter().filter(is_recent_and_admitted);
         let mut admitted: Vec<_> = recent.map(|(_, importance)| *importance).collect();
         admitted.sort_unstable();
         let shed_count = (admitted.len() as f64 * shed_ratio).ceil() as usize;
-        let Some(least_kept) = admitted.get(shed_count.min(admitted.len().saturating_sub(1)))
+        let Some(raised_level) = admitted.get(shed_count.min(admitted.len().saturating_sub(1)))
         else {
             return;
         };
-        self.band = FIRST_BAND;
-        self.set(now, *least_kept);
+        self.probe_step = MIN_PROBE_STEP;
+        self.set(now, *raised_level);
     }
 
-    fn probe(&mut self, now: Duration, busy_ratio: f64) {
+    fn probe(&mut self, now: Duration, utilisation_ratio: f64) {
         if self.level == Importance::LEAST {
             return;
         }
-        let room_ratio = (AIMED_BUSY_RATIO / busy_ratio.max(0.1) - 1.0).max(0.0);
+        let free_ratio = (TARGET_UTILISATION_RATIO / utilisation_ratio.max(0.1) - 1.0).max(0.0);
         let admitted = f64::from(Cohort::MAX - self.level.cohort());
-        let filling = (filled_ratio(busy_ratio) * room_ratio * admitted) as u32;
-        let lowered = self.lowered_by(filling.max(self.band));
-        let is_idle = busy_ratio < IDLE_BUSY_RATIO;
-        self.band = if is_idle {
-            self.band.saturating_mul(2)
+        let fill_cohorts = (fill_ratio(utilisation_ratio) * free_ratio * admitted) as u32;
+        let lowered = self.lowered_by(fill_cohorts.max(self.probe_step));
+        let is_idle = utilisation_ratio < IDLE_UTILISATION_RATIO;
+        self.probe_step = if is_idle {
+            self.probe_step.saturating_mul(2)
         } else {
-            FIRST_BAND
+            MIN_PROBE_STEP
         };
         self.set(now, lowered);
     }
 
-    /// The level a number of cohorts further down. Classes that never came here
-    /// are skipped: there may be hundreds of them between two that did.
+    /// Returns the level lowered by a number of cohorts.
+    ///
+    /// Classes of which no request has arrived here are skipped: there may be hundreds of them
+    /// between two that are in use.
     fn lowered_by(&self, mut cohorts_count: u32) -> Importance {
         let mut level = self.level;
         while u32::from(level.cohort()) < cohorts_count {
@@ -255,8 +264,8 @@
         f64::from(self.refused_count) / f64::from(self.arrived_count.max(1))
     }
 
-    fn busy_ratio(&self) -> f64 {
-        self.busy_ratio / f64::from(self.samples_count.max(1))
+    fn utilisation_ratio(&self) -> f64 {
+        self.utilisation_ratio / f64::from(self.samples_count.max(1))
     }
 
     fn wait_ratio(&self, full_wait_s: f64) -> f64 {
@@ -267,18 +276,20 @@
     }
 }
 
-/// How much of an excess one window sheds: more of a great one, since no burst
-/// explains that.
+/// Share of an excess that one window sheds; it grows with the excess, since a large one is no
+/// mere burst.
 fn gain_of(excess_ratio: f64) -> f64 {
-    (GAIN_LEAST + excess_ratio).min(GAIN_GREATEST)
+    (MIN_GAIN + excess_ratio).min(MAX_GAIN)
 }
 
-/// How much of the room that is left one window fills. Chance makes a little room
-/// and takes it back; much room means that the overload is over.
-fn filled_ratio(busy_ratio: f64) -> f64 {
-    if busy_ratio < ROOMY_BUSY_RATIO {
-        FILLED_GREATEST_RATIO
+/// Share of the free capacity that one window fills.
+///
+/// A little free capacity may be due to chance and disappear again; much of it means that the
+/// overload is over.
+fn fill_ratio(utilisation_ratio: f64) -> f64 {
+    if utilisation_ratio < LOW_UTILISATION_RATIO {
+        MAX_FILL_RATIO
     } else {
-        FILLED_LEAST_RATIO
+        MIN_FILL_RATIO
     }
 }
--- a/crates/kumquatquay-core/src/overload/load_balancing.rs
+++ b/crates/kumquatquay-core/src/overload/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Which backend server a call goes to.
+//! Load balancing: picks the endpoint of a call, and ejects outliers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,46 +8,45 @@
 use super::{Endpoint, service_table::ServiceId};
 use crate::{Blackboard, membership::Candidate};
 
-/// How often a drawn candidate that can't be taken is drawn again before all
-/// candidates are looked at.
-const DRAWS_COUNT: usize = 3;
+/// Random samples for an eligible candidate before all candidates are scanned.
+const SAMPLES_COUNT: usize = 3;
 
-/// At most one in this many backend servers of a service is left out.
-const EJECTED_SHARE_COUNT: usize = 3;
+/// At most 1 in this number of the backend servers of a service is ejected.
+const EJECTED_DIVISOR: usize = 3;
 
-/// Costs that differ by no more than this share are a tie, which the reported
-/// health breaks.
+/// Maximum relative difference of two costs that counts as a tie, which the reported health
+/// breaks.
 const TIE_RATIO: f64 = 0.1;
 
-/// What is asked of a backend server.
+/// Criteria by which an endpoint is picked.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PickCriteria<'a> {
-    /// Service that is called; `None` if nothing is kept of it.
+    /// Service that is called; `None` if it is not in the service table.
     pub(crate) service: Option<ServiceId>,
     /// Importance of the call.
     pub(crate) importance: Importance,
-    /// Backend servers that were tried already.
+    /// Endpoints of earlier attempts of the call.
     pub(crate) tried: &'a [SocketAddr],
-    /// Whether all data centres take their share, so that the limit of a
-    /// caller, which is divided among all backend servers, can be used up.
+    /// Whether calls are spread over all data centres, because the rate limit of the caller is
+    /// divided among all backend servers and could not be used up otherwise.
     pub(crate) uses_all_data_centres: bool,
 }
 
-/// Where a call goes.
+/// Endpoint that was picked for a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PickedEndpoint {
     pub(crate) peer: SocketAddr,
     incarnation: Incarnation,
-    since: Duration,
+    slow_start_from: Duration,
 }
 
 impl PickedEndpoint {
-    /// The home of an operation, which is not chosen.
+    /// The home node of an operation, which bypasses load balancing.
     pub(crate) fn home(home: &OperationRef) -> Self {
         Self {
             peer: home.home,
             incarnation: home.home_incarnation,
-            since: Duration::ZERO,
+            slow_start_from: Duration::ZERO,
         }
     }
 
@@ -55,12 +54,12 @@
         Self {
             peer: candidate.peer,
             incarnation: candidate.incarnation,
-            since: candidate.since,
+            slow_start_from: candidate.since,
         }
     }
 }
 
-/// The backend server at an address, if it takes calls of a service.
+/// Returns the endpoint at an address, if it is a candidate for calls of the service.
 pub(crate) fn endpoint_at(
     board: &Blackboard,
     name: &String,
@@ -71,10 +70,12 @@
     candidate.map(PickedEndpoint::new)
 }
 
-/// Chooses the better of two backend servers drawn at random.
+/// Picks an endpoint by the power of two choices: the one with the lower cost of two random
+/// samples.
 ///
-/// The own data centre goes first. Calls that it would refuse for want of room
-/// go to data centres that admit them.
+/// The own data centre is preferred. Calls that its level would refuse spill over to data
+/// centres that admit them. If no candidate is left there, any untried one is picked, and at
+/// last the first candidate.
 pub(crate) fn pick(
     board: &mut Blackboard,
     now: Duration,
@@ -94,30 +95,32 @@
     };
     let own_count = candidates.partition_point(|candidate| candidate.is_own_data_centre);
     let (own, others) = candidates.split_at(own_count);
-    let is_own_open = own.first().is_some_and(is_admitted);
+    let is_own_admitted = own.first().is_some_and(is_admitted);
     let can_spill = others.iter().any(is_admitted);
     let pool = if criteria.uses_all_data_centres {
         candidates
-    } else if own.is_empty() || (!is_own_open && can_spill) {
+    } else if own.is_empty() || (!is_own_admitted && can_spill) {
         others
     } else {
         own
     };
-    let is_spilling = !is_own_open && !criteria.uses_all_data_centres;
-    let fits = |candidate: &&Candidate| {
+    let is_spilling = !is_own_admitted && !criteria.uses_all_data_centres;
+    let is_eligible = |candidate: &&Candidate| {
         let is_tried = criteria.tried.contains(&candidate.peer);
         let is_ejected = overload.is_ejected(criteria.service, candidate.peer, now);
         let is_leaving = overload.is_leaving(candidate.peer, now);
-        let is_out = is_ejected || is_leaving;
-        let is_doubtful = candidate.is_warming || candidate.is_suspect || is_out;
+        let is_unavailable = is_ejected || is_leaving;
+        let is_degraded = candidate.is_warming || candidate.is_suspect || is_unavailable;
         let is_refusing = is_spilling && !is_admitted(candidate);
-        !is_tried && !is_doubtful && !is_refusing
+        !is_tried && !is_degraded && !is_refusing
     };
-    let first = draw(random, pool, fits);
-    let second = draw(random, pool, fits);
+    let first = sample(random, pool, is_eligible);
+    let second = sample(random, pool, is_eligible);
     let chosen = match (first, second) {
-        (Some(first), Some(second)) => Some(better(overload, now, criteria.service, first, second)),
-        _ => last_resort(pool, fits, criteria.tried).or_else(|| {
+        (Some(first), Some(second)) => {
+            Some(lower_cost(overload, now, criteria.service, first, second))
+        }
+        _ => pick_by_scan(pool, is_eligible, criteria.tried).or_else(|| {
             let untried = |candidate: &&Candidate| !criteria.tried.contains(&candidate.peer);
             candidates.iter().find(untried).or(candidates.first())
         }),
@@ -125,36 +128,37 @@
     chosen.map(PickedEndpoint::new)
 }
 
-fn draw<'a>(
+fn sample<'a>(
     random: &mut impl Rng,
     pool: &'a [Candidate],
-    fits: impl Fn(&&Candidate) -> bool,
+    is_eligible: impl Fn(&&Candidate) -> bool,
 ) -> Option<&'a Candidate> {
     if pool.is_empty() {
         return None;
     }
-    let mut draws = (0..DRAWS_COUNT).map(|_| &pool[random.random_range(0..pool.len())]);
-    draws.find(|candidate| fits(candidate))
+    let mut samples = (0..SAMPLES_COUNT).map(|_| &pool[random.random_range(0..pool.len())]);
+    samples.find(|candidate| is_eligible(candidate))
 }
 
-/// Looks at all candidates: at those that fit, then at those that are in doubt.
-fn last_resort<'a>(
+/// Picks the first candidate that is eligible, else one that was not tried and is not suspect,
+/// else one that was not tried.
+fn pick_by_scan<'a>(
     pool: &'a [Candidate],
-    fits: impl Fn(&&Candidate) -> bool,
+    is_eligible: impl Fn(&&Candidate) -> bool,
     tried: &[SocketAddr],
 ) -> Option<&'a Candidate> {
     let untried = |candidate: &&Candidate| !tried.contains(&candidate.peer);
-    let fitting = pool.iter().find(fits);
+    let eligible = pool.iter().find(is_eligible);
     let trusted = || {
         let is_trusted = |candidate: &&Candidate| untried(candidate) && !candidate.is_suspect;
         pool.iter().find(is_trusted)
     };
-    fitting
+    eligible
         .or_else(trusted)
         .or_else(|| pool.iter().find(untried))
 }
 
-fn better<'a>(
+fn lower_cost<'a>(
     overload: &super::OverloadTable,
     now: Duration,
     service: Option<ServiceId>,
@@ -162,7 +166,7 @@
     second: &'a Candidate,
 ) -> &'a Candidate {
     let service_latency_s = service.map_or(0.0, |id| overload.services.get(id).latency_s);
-    let look = |candidate: &Candidate| {
+    let cost_and_health = |candidate: &Candidate| {
         let fresh;
         let endpoint = match overload.endpoints.get(&candidate.peer) {
             Some(endpoint) if !endpoint.has_other_incarnation(candidate.incarnation) => endpoint,
@@ -174,8 +178,8 @@
         let cost = endpoint.cost(now, service_latency_s, candidate.slots_count);
         (cost, endpoint.is_reported_ill())
     };
-    let (first_cost, is_first_ill) = look(first);
-    let (second_cost, is_second_ill) = look(second);
+    let (first_cost, is_first_ill) = cost_and_health(first);
+    let (second_cost, is_second_ill) = cost_and_health(second);
     let is_tie = (first_cost - second_cost).abs() <= TIE_RATIO * first_cost.max(second_cost);
     let is_first_better = if is_tie && is_first_ill != is_second_ill {
         is_second_ill
@@ -185,9 +189,9 @@
     if is_first_better { first } else { second }
 }
 
-/// Notes that an attempt goes out to a backend server.
+/// Records that an attempt is sent to an endpoint.
 pub(crate) fn on_sent(board: &mut Blackboard, picked: PickedEndpoint) {
-    let fresh = || Endpoint::new(picked.incarnation, picked.since);
+    let fresh = || Endpoint::new(picked.incarnation, picked.slow_start_from);
     let endpoint = board.overload.endpoints.entry(picked.peer);
     let endpoint = endpoint.or_insert_with(fresh);
     if endpoint.has_other_incarnation(picked.incarnation) {
@@ -196,20 +200,21 @@
     endpoint.outstanding_count += 1;
 }
 
-/// What an attempt tells of the backend server that it went to.
+/// Result of an attempt, as far as its endpoint is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointResult {
-    /// It ran the call, in this time.
+    /// The call ran; with its latency.
     Ran(Duration),
-    /// It or its node refused for want of room: a matter of load, not of health.
+    /// The backend server or its node refused the call without running it, which shows load
+    /// rather than bad health.
     Rejected,
-    /// The attempt was given up: no evidence.
+    /// The attempt was cancelled or timed out, which shows nothing about the endpoint.
     Cancelled,
-    /// It failed.
+    /// The attempt failed.
     Failed,
 }
 
-/// Takes in how an attempt ended.
+/// Records the result of an attempt at its endpoint.
 pub(crate) fn on_ended(
     board: &mut Blackboard,
     now: Duration,
@@ -233,16 +238,16 @@
     if let EndpointResult::Ran(latency) = result {
         overload.services.get_mut(id).observe_latency(latency);
     }
-    judge(board, now, id, peer);
+    update_ejection(board, now, id, peer);
 }
 
-/// Ejects a backend server that looks bad, unless too many do.
+/// Ejects an endpoint that is an outlier, unless too many are.
 ///
-/// When a service slows as a whole, each of its backend servers fails calls.
-/// Ejecting them one after the other would push their load onto the rest until
-/// none is left. So no more than a third is out at a time, and when more than a
-/// third look bad, the cause is load or the network and all are taken back.
-fn judge(board: &mut Blackboard, now: Duration, id: ServiceId, peer: SocketAddr) {
+/// When a whole service becomes slow, each of its backend servers fails calls. Ejecting one
+/// after the other would move their load to the rest until none is left. So at most a third is
+/// ejected at a time. If more than a third are outliers besides the ejected ones, the cause is
+/// load or the network, and all ejections end.
+fn update_ejection(board: &mut Blackboard, now: Duration, id: ServiceId, peer: SocketAddr) {
     let overload = &mut board.overload;
     let service = overload.services.get_mut(id);
     let Some(endpoint) = overload.endpoints.get_mut(&peer) else {
@@ -255,13 +260,13 @@
         return;
     }
     service.outliers.push(peer);
-    let limit_count = board.members.candidates(&service.name).len() / EJECTED_SHARE_COUNT;
+    let limit_count = board.members.candidates(&service.name).len() / EJECTED_DIVISOR;
     if service.outliers.len() > limit_count {
         service.ejected.clear();
         return;
     }
-    let is_out = service.ejected.iter().any(|(ejected, _)| *ejected == peer);
-    if is_out || service.ejected.len() >= limit_count {
+    let is_ejected = service.ejected.iter().any(|(ejected, _)| *ejected == peer);
+    if is_ejected || service.ejected.len() >= limit_count {
         return;
     }
     service.ejected.push((peer, endpoint.eject(now)));
--- a/crates/kumquatquay-core/src/overload/mod.rs
+++ b/crates/kumquatquay-core/src/overload/mod.rs
@@ -1,4 +1,4 @@
-//! Ledgers, retry allowance, levels and routing.
+//! Overload control: request ledgers, retry allowances, admission levels and load balancing.
 
 mod class_set;
 mod controller;
--- a/crates/kumquatquay-core/src/overload/observed_level.rs
+++ b/crates/kumquatquay-core/src/overload/observed_level.rs
@@ -1,65 +1,66 @@
-//! A level that this node learnt from others.
+//! Admission level of a service, as this node has observed it.
 
 use std::time::Duration;
 
 use kumquatquay_wire::{Cohort, DataCentreName, Importance};
 
-/// How long a level holds in full after it was observed.
-const HOLD: Duration = Duration::from_millis(600);
+/// Time after the last observation for which a level is enforced in full.
+const FULL_EFFECT_TIME: Duration = Duration::from_millis(600);
 
-/// When the last node forgets a level that nobody confirmed.
-const LAPSE_LAST: Duration = Duration::from_millis(2_000);
+/// Upper bound of the randomised time after the last observation at which a level expires.
+const MAX_LIFETIME: Duration = Duration::from_millis(2_000);
 
-/// When the first node forgets it.
-const LAPSE_FIRST: Duration = Duration::from_millis(1_400);
+/// Lower bound of that time.
+const MIN_LIFETIME: Duration = Duration::from_millis(1_400);
 
-/// Least weight of a new observation against the ones before.
-const NEW_WEIGHT_LEAST: f64 = 0.3;
+/// Minimum weight of a new observation in the moving average.
+const MIN_NEW_WEIGHT: f64 = 0.3;
 
-/// Time after which older observations count for little.
-const MEMORY: Duration = Duration::from_millis(100);
+/// Time constant of the moving average.
+const AVERAGING_TIME: Duration = Duration::from_millis(100);
 
-/// Level of one service in one data centre, as this node knows it.
+/// Admission level of one service in one data centre, as observed in answers and gossip.
 ///
-/// Several gates of the data centre tell their own; the average of them is
-/// kept, weighted by what they answer. A level passes on through several nodes, and
-/// the average of each comes late; where answers are few, the newest counts most.
+/// It is a moving average over the observations, one for each answer or rumour, so that gates
+/// with more answers have more weight. A level may travel through several nodes, each of which
+/// adds the delay of its average; therefore a new observation has more weight if observations
+/// are rare.
 #[derive(Clone, Debug)]
 pub(crate) struct ObservedLevel {
-    /// Where the backend servers are.
+    /// Data centre of the backend servers.
     pub(crate) data_centre: DataCentreName,
     least_admitted: f64,
     observed: Duration,
 }
 
 impl ObservedLevel {
-    pub(crate) fn new(data_centre: DataCentreName, told: Importance, observed: Duration) -> Self {
+    pub(crate) fn new(data_centre: DataCentreName, level: Importance, observed: Duration) -> Self {
         Self {
             data_centre,
-            least_admitted: f64::from(told.get()),
+            least_admitted: f64::from(level.get()),
             observed,
         }
     }
 
-    /// Takes in an observation; one older than what is known counts for nothing.
-    pub(crate) fn observe(&mut self, told: Importance, observed: Duration) {
+    /// Adds an observation; ignores it if it is older than the newest one.
+    pub(crate) fn observe(&mut self, level: Importance, observed: Duration) {
         if observed < self.observed {
             return;
         }
-        let told = f64::from(told.get());
-        let since = observed - self.observed;
-        let fresh_ratio = 1.0 - (-since.as_secs_f64() / MEMORY.as_secs_f64()).exp();
-        let weight = fresh_ratio.max(NEW_WEIGHT_LEAST);
-        self.least_admitted += weight * (told - self.least_admitted);
+        let level = f64::from(level.get());
+        let elapsed = observed - self.observed;
+        let decayed_ratio = 1.0 - (-elapsed.as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
+        let weight = decayed_ratio.max(MIN_NEW_WEIGHT);
+        self.least_admitted += weight * (level - self.least_admitted);
         self.observed = observed;
     }
 
-    /// The level, without regard to its age.
+    /// The least importance that is admitted, regardless of the age of the observation.
     pub(crate) fn least_admitted(&self) -> Importance {
         Importance::from_number(self.least_admitted.round() as u32)
     }
 
-    /// Whether it refuses anything while it is fresh.
+    /// Whether the level admits all requests.
     pub(crate) fn admits_all(&self) -> bool {
         self.least_admitted < 0.5
     }
@@ -69,27 +70,29 @@
         now.saturating_sub(self.observed)
     }
 
-    /// Whether nobody confirmed it for so long that it counts for nothing.
+    /// Whether the last observation is so old that the level has no effect at any node.
     pub(crate) fn is_expired(&self, now: Duration) -> bool {
-        self.age(now) >= LAPSE_LAST
+        self.age(now) >= MAX_LIFETIME
     }
 
     /// Whether a request of this importance is admitted.
     ///
-    /// A level that nobody confirms fades: a growing share of the cohorts below
-    /// it is admitted, in every class alike. All at once would open the flood
-    /// gates; the jitter keeps nodes that learnt it together from fading together.
+    /// Without new observations the level expires gradually: an increasing share of the cohorts
+    /// below it is admitted, the same in every class. Admitting all at once would cause a
+    /// surge. The `jitter`, from 0 to 1, varies the lifetime between nodes that observed the
+    /// level at the same time.
     pub(crate) fn admits(&self, now: Duration, importance: Importance, jitter: f64) -> bool {
         if importance >= self.least_admitted() {
             return true;
         }
         let age = self.age(now);
-        if age <= HOLD {
+        if age <= FULL_EFFECT_TIME {
             return false;
         }
-        let lapse = LAPSE_FIRST + (LAPSE_LAST - LAPSE_FIRST).mul_f64(jitter);
-        let faded_ratio = (age - HOLD).as_secs_f64() / (lapse - HOLD).as_secs_f64();
-        let rank = f64::from(Cohort::MAX - importance.cohort());
-        rank < faded_ratio * f64::from(Cohort::MAX)
+        let lifetime = MIN_LIFETIME + (MAX_LIFETIME - MIN_LIFETIME).mul_f64(jitter);
+        let admitted_ratio =
+            (age - FULL_EFFECT_TIME).as_secs_f64() / (lifetime - FULL_EFFECT_TIME).as_secs_f64();
+        let refusal_rank = f64::from(Cohort::MAX - importance.cohort());
+        refusal_rank < admitted_ratio * f64::from(Cohort::MAX)
     }
 }
--- a/crates/kumquatquay-core/src/overload/overload_table.rs
+++ b/crates/kumquatquay-core/src/overload/overload_table.rs
@@ -1,4 +1,4 @@
-//! Ledgers, retry allowance, levels and routing: what is known.
+//! State of overload control.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -11,22 +11,22 @@
     service_table::{ServiceId, ServiceTable},
 };
 
-/// Routes that are remembered; the ones that were not used for longest go first.
-const ROUTES_LIMIT_COUNT: usize = 4_096;
+/// Size of the cache of routes.
+const MAX_ROUTES_COUNT: usize = 4_096;
 
-/// Ledgers, retry allowance, levels and routing.
+/// State of overload control: ledgers, services with their levels, routes and endpoints.
 #[derive(Debug)]
 pub(crate) struct OverloadTable {
     pub(crate) ledgers: LedgerTable,
     pub(crate) services: ServiceTable,
     pub(crate) routes: GenerationalCache<RouteKey, Route>,
-    /// Backend servers that were called, by peer address.
+    /// Endpoints that this node has called, by peer address.
     pub(crate) endpoints: HashMap<SocketAddr, Endpoint>,
-    /// This node's place among those that forget a level, from 0 to 1.
+    /// Random number from 0 to 1 that varies the lifetime of observed levels between nodes.
     pub(crate) jitter: f64,
-    /// Seed of route keys.
+    /// Seed of the hashes in route keys.
     pub(crate) route_seed: u64,
-    /// When ledgers and targets were last cleared of what has lapsed.
+    /// When expired ledgers and departed endpoints were last removed.
     pub(crate) last_sweep: Duration,
 }
 
@@ -35,7 +35,7 @@
         Self {
             ledgers: LedgerTable::default(),
             services: ServiceTable::default(),
-            routes: GenerationalCache::new(ROUTES_LIMIT_COUNT),
+            routes: GenerationalCache::new(MAX_ROUTES_COUNT),
             endpoints: HashMap::new(),
             jitter: random.random(),
             route_seed: random.random(),
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Whether a backend server said in an answer that it is leaving.
+    /// Whether an endpoint recently reported in an answer that it is leaving.
     pub(crate) fn is_leaving(&self, peer: SocketAddr, now: Duration) -> bool {
         let endpoint = self.endpoints.get(&peer);
         endpoint.is_some_and(|endpoint| endpoint.is_leaving(now))
     }
 
-    /// Whether a backend server is left out for now.
+    /// Whether an endpoint of a service is ejected at present.
     pub(crate) fn is_ejected(
         &self,
         service: Option<ServiceId>,
@@ -62,6 +62,6 @@
         let ejected = &self.services.get(id).ejected;
         ejected
             .iter()
-            .any(|(out, until)| *out == peer && *until > now)
+            .any(|(endpoint, until)| *endpoint == peer && *until > now)
     }
 }
--- a/crates/kumquatquay-core/src/overload/retry_after.rs
+++ b/crates/kumquatquay-core/src/overload/retry_after.rs
@@ -1,29 +1,33 @@
-//! When a refused caller should come back.
+//! Computes the `Retry-After` of refused requests.
 
 use std::time::Duration;
 
 use kumquatquay_wire::{Cohort, Importance};
 use rand::Rng;
 
-/// The mean wait where little is missing.
-const LEAST_S: f64 = 0.5;
+/// Mean wait of a request that is just below the level, in seconds.
+const MIN_MEAN_S: f64 = 0.5;
 
-/// The mean wait a whole class below the level, in addition.
-const CLASS_S: f64 = 2.0;
+/// Increase of the mean wait per class below the level, in seconds.
+const MEAN_PER_CLASS_S: f64 = 2.0;
 
-/// Classes below the level beyond which the wait grows no more: class numbers
-/// lie far apart and say nothing of how much is missing.
-const CLASSES_GREATEST: f64 = 1.5;
+/// Distance from the level, in classes, beyond which the wait does not increase.
+///
+/// The numbers of the classes in use can be far apart, so that a greater distance says nothing
+/// about the shortage.
+const MAX_CLASSES: f64 = 1.5;
 
-/// When a refused caller should come back: later the further its request is
-/// below the level, and spread out so that refused callers don't return at once.
+/// Returns a random wait after which a refused request should be sent again.
+///
+/// Its mean increases with the distance of the request from the level. It is randomised by ±50
+/// %, so that refused callers don't return all at once.
 pub(crate) fn retry_after(
     random: &mut impl Rng,
     level: Importance,
     importance: Importance,
 ) -> Duration {
-    let missing = level.get().saturating_sub(importance.get());
-    let missing_classes = f64::from(missing) / f64::from(Cohort::MAX);
-    let mean_s = LEAST_S + CLASS_S * missing_classes.min(CLASSES_GREATEST);
+    let distance = level.get().saturating_sub(importance.get());
+    let distance_classes = f64::from(distance) / f64::from(Cohort::MAX);
+    let mean_s = MIN_MEAN_S + MEAN_PER_CLASS_S * distance_classes.min(MAX_CLASSES);
     Duration::from_secs_f64(mean_s * random.random_range(0.5..1.5))
 }
--- a/crates/kumquatquay-core/src/overload/retry_allowance.rs
+++ b/crates/kumquatquay-core/src/overload/retry_allowance.rs
@@ -1,13 +1,13 @@
-//! Retries of one request, conserved across all nodes that it reaches.
+//! Retry allowance of a root request, whose total is conserved across all nodes.
 
 use crate::AllowanceSplit;
 
-/// Retries that one node holds of one request.
+/// The part of the retry allowance of a root request that one node holds.
 ///
-/// The entry grants a number for the whole request. A node pays for each extra
-/// attempt, lends a part with each attempt and gets back what the callee says
-/// it did not spend. Nothing is ever added, so however deep or wide the call
-/// graph is, all nodes together pay for no more attempts than were granted.
+/// The entry grants a number of retries for the root request. A node spends one for each retry,
+/// lends a part with each attempt and gets back what the callee reports as unspent. Retries are
+/// never added, so that all nodes together spend no more than were granted, however deep or
+/// wide the call graph is.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryAllowance {
     remaining_count: u16,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Retries left.
+    /// Number of retries left.
     pub(crate) fn remaining_count(&self) -> u16 {
         self.remaining_count
     }
 
-    /// Pays for a number of attempts; `false` if too little is left.
+    /// Spends retries; returns false, and spends none, if too few are left.
     pub(crate) fn try_spend(&mut self, count: u16) -> bool {
         let Some(remaining_count) = self.remaining_count.checked_sub(count) else {
             return false;
@@ -36,24 +36,24 @@
         true
     }
 
-    /// Takes out the part that goes with an attempt.
+    /// Takes out the part that is lent to the callee of an attempt, and returns it.
     pub(crate) fn lend(&mut self, split: AllowanceSplit) -> u16 {
         let lent_count = split.lent_count(self.remaining_count);
         self.remaining_count -= lent_count;
         lent_count
     }
 
-    /// Takes back what a callee did not spend.
+    /// Takes back the retries that a callee did not spend.
     ///
-    /// A callee that claims more than it was lent, by a fault or on purpose,
-    /// would create retries out of nothing; the claim is cut to the loan.
+    /// The claim is limited to the loan: a callee that reports more than it was lent, by
+    /// mistake or on purpose, would create additional retries.
     pub(crate) fn reclaim(&mut self, claimed_count: u16, lent_count: u16) {
         let returned_count = claimed_count.min(lent_count);
         let remaining_count = self.remaining_count.saturating_add(returned_count);
         self.remaining_count = remaining_count.min(self.granted_count);
     }
 
-    /// Ends the loan: what is left goes back to who granted it.
+    /// Takes out all retries that are left, to return them to the lender.
     pub(crate) fn take_unspent(&mut self) -> u16 {
         std::mem::take(&mut self.remaining_count)
     }
--- a/crates/kumquatquay-core/src/overload/service_table.rs
+++ b/crates/kumquatquay-core/src/overload/service_table.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the services that it reaches.
+//! Table of the services that this node calls or knows from levels.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -6,31 +6,31 @@
 
 use super::{observed_level::ObservedLevel, retry_budget::RetryBudget};
 
-/// Services that a node keeps something of; the others are called without
-/// levels and without retries.
-const SERVICES_LIMIT_COUNT: usize = 2_048;
+/// Maximum number of services in the table; others are called without levels and retries.
+const MAX_SERVICES_COUNT: usize = 2_048;
 
-/// Data centres of one service whose levels are kept.
-const DATA_CENTRES_LIMIT_COUNT: usize = 64;
+/// Maximum number of data centres per service whose levels are stored.
+const MAX_DATA_CENTRES_COUNT: usize = 64;
 
-/// Weight of a new latency against the ones before.
+/// Weight of a new latency in the moving average.
 const LATENCY_WEIGHT: f64 = 0.05;
 
-/// Place of a service in the [`ServiceTable`].
+/// Index of a service in the [`ServiceTable`].
 pub(crate) type ServiceId = usize;
 
-/// What a node knows of one service.
+/// State of one service at this node.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
-    /// Levels, one for each data centre.
+    /// Observed levels, one for each data centre.
     pub(crate) levels: Vec<ObservedLevel>,
     pub(crate) retry_budget: RetryBudget,
-    /// Average time to an answer of a run call, in seconds; 0 before the first.
+    /// Moving average of the latency of calls that ran, in seconds; 0 before the first.
     pub(crate) latency_s: f64,
-    /// Backend servers that look bad by this node's own calls.
+    /// Endpoints that are outliers by the results of this node's calls, without the ejected
+    /// ones.
     pub(crate) outliers: Vec<SocketAddr>,
-    /// Those of them that get no calls, and until when.
+    /// Ejected endpoints, which get no calls, with the end of their ejection.
     pub(crate) ejected: Vec<(SocketAddr, Duration)>,
 }
 
@@ -54,19 +54,24 @@
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s);
     }
 
-    pub(crate) fn observe_level(&mut self, data_centre: &str, told: Importance, at: Duration) {
+    pub(crate) fn observe_level(
+        &mut self,
+        data_centre: &str,
+        observed: Importance,
+        observed_at: Duration,
+    ) {
         let mut known = self.levels.iter_mut();
         if let Some(level) = known.find(|level| level.data_centre == data_centre) {
-            level.observe(told, at);
+            level.observe(observed, observed_at);
             return;
         }
-        if self.levels.len() < DATA_CENTRES_LIMIT_COUNT {
-            let level = ObservedLevel::new(String::from(data_centre), told, at);
+        if self.levels.len() < MAX_DATA_CENTRES_COUNT {
+            let level = ObservedLevel::new(String::from(data_centre), observed, observed_at);
             self.levels.push(level);
         }
     }
 
-    /// Whether calls of this importance are admitted in a data centre.
+    /// Whether the level of a data centre admits calls of this importance.
     pub(crate) fn admits(
         &self,
         data_centre: &str,
@@ -81,13 +86,13 @@
         level.is_none_or(|level| level.admits(now, importance, jitter))
     }
 
-    /// Whether no data centre refuses anything, which spares closer looks.
+    /// Whether all data centres admit all calls; a fast path before [`Service::admits`].
     pub(crate) fn admits_all(&self) -> bool {
         self.levels.iter().all(ObservedLevel::admits_all)
     }
 }
 
-/// Services that this node reaches or hears of, by number.
+/// Services that this node calls or knows from levels, by id.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceTable {
     ids: HashMap<ServiceName, ServiceId>,
@@ -95,12 +100,12 @@
 }
 
 impl ServiceTable {
-    /// The number of a service; `None` if too many are known already.
+    /// Returns the id of a service, which is inserted if needed; `None` if the table is full.
     pub(crate) fn get_or_insert_id(&mut self, name: &str) -> Option<ServiceId> {
         if let Some(id) = self.ids.get(name) {
             return Some(*id);
         }
-        if self.services.len() >= SERVICES_LIMIT_COUNT {
+        if self.services.len() >= MAX_SERVICES_COUNT {
             return None;
         }
         let id = self.services.len();
@@ -109,7 +114,7 @@
         Some(id)
     }
 
-    /// The number of a service that is kept already.
+    /// Returns the id of a service, if it is in the table.
     pub(crate) fn id(&self, name: &str) -> Option<ServiceId> {
         self.ids.get(name).copied()
     }
