--- a/crates/kumquatquay-core/src/configuration/classification_table.rs
+++ b/crates/kumquatquay-core/src/configuration/classification_table.rs
@@ -39,7 +39,7 @@
 
 impl ClassificationTable {
     /// Replaces what is known of one service.
-    pub(crate) fn set(&mut self, service: &ServiceName, intent: Option<&Intent>) {
+    pub(crate) fn set_intent(&mut self, service: &ServiceName, intent: Option<&Intent>) {
         match intent {
             Some(intent) => {
                 self.services
@@ -63,9 +63,9 @@
             return default_classification(method);
         };
         let rules = intent.callers.get(caller);
-        let of_caller = rules.map_or(&[][..], |rules| &rules.classes);
+        let caller_classes = rules.map_or(&[][..], |rules| &rules.classes);
         let class =
-            class_of(of_caller, method, path).max(class_of(&intent.any_caller, method, path));
+            class_of(caller_classes, method, path).max(class_of(&intent.any_caller, method, path));
         Classification {
             class,
             is_idempotent: intent.is_idempotent(method, path),
--- a/crates/kumquatquay-core/src/configuration/configuration_state.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_state.rs
@@ -37,13 +37,13 @@
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum ChangeOutcome {
     /// Its base was current.
-    Won,
+    Accepted,
     /// It had won before, at this version.
-    Repeat(ConfigurationVersion),
+    Duplicate(ConfigurationVersion),
     /// Its base was not current, or it can't be applied.
-    Lost,
+    Rejected,
 }
 
 impl ConfigurationState {
@@ -88,7 +88,7 @@
     }
 
     /// The version at which a change won, while it is remembered.
-    pub(crate) fn version_of(&self, id: ChangeId) -> Option<ConfigurationVersion> {
+    pub(crate) fn accepted_version(&self, id: ChangeId) -> Option<ConfigurationVersion> {
         let mut changes = self.history.iter();
         let accepted = changes.find(|accepted| accepted.change.id == id);
         let mut entries = self.entries.values();
@@ -111,7 +111,7 @@
 
     /// Takes in a record that changes nothing: unreadable, or a snapshot of
     /// what is known already.
-    pub(crate) fn pass_over(&mut self, offset: LogOffset, digest: RecordDigest) {
+    pub(crate) fn advance_to(&mut self, offset: LogOffset, digest: RecordDigest) {
         self.through = Some(offset);
         self.digest = digest;
     }
@@ -123,19 +123,19 @@
         digest: RecordDigest,
         appended_unix_ms: u64,
         change: ConfigurationChange,
-    ) -> Verdict {
-        self.pass_over(offset, digest);
-        if let Some(version) = self.version_of(change.id) {
-            return Verdict::Repeat(version);
+    ) -> ChangeOutcome {
+        self.advance_to(offset, digest);
+        if let Some(version) = self.accepted_version(change.id) {
+            return ChangeOutcome::Duplicate(version);
         }
-        if !is_well_formed(&change) || self.conflicts(&change).next().is_some() {
-            return Verdict::Lost;
+        if !names_distinct_services(&change) || self.conflicts(&change).next().is_some() {
+            return ChangeOutcome::Rejected;
         }
-        if !self.make_room(&change) {
-            return Verdict::Lost;
+        if !self.evict_removed(&change) {
+            return ChangeOutcome::Rejected;
         }
         self.accept(offset, appended_unix_ms, change);
-        Verdict::Won
+        ChangeOutcome::Accepted
     }
 
     /// Takes in a change that another node saw win. Returns whether it fits.
@@ -146,7 +146,9 @@
         {
             return false;
         }
-        if self.conflicts(&accepted.change).next().is_some() || !self.make_room(&accepted.change) {
+        if self.conflicts(&accepted.change).next().is_some()
+            || !self.evict_removed(&accepted.change)
+        {
             return false;
         }
         self.accept(accepted.version, accepted.appended_unix_ms, accepted.change);
@@ -177,7 +179,7 @@
     ///
     /// A change to a forgotten service with an old base can't win: its base
     /// names a version, and the service has none any more.
-    fn make_room(&mut self, change: &ConfigurationChange) -> bool {
+    fn evict_removed(&mut self, change: &ConfigurationChange) -> bool {
         let new = change
             .intents
             .iter()
@@ -253,7 +255,7 @@
 }
 
 /// A change that names a service twice would win against its own base.
-fn is_well_formed(change: &ConfigurationChange) -> bool {
+fn names_distinct_services(change: &ConfigurationChange) -> bool {
     let mut names: Vec<&str> = change
         .intents
         .iter()
--- a/crates/kumquatquay-core/src/configuration/configuration_table.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_table.rs
@@ -7,8 +7,8 @@
 use super::{
     classification::Classification, classification_table::ClassificationTable,
     configuration_state::ConfigurationState, confirmation::Confirmation, demand::Demand,
-    heard::HeardVersion, log_reader::LogReader, peer_fetch::PeerFetch, plan_table::PlanTable,
-    ranks::Ranks, snapshot_schedule::SnapshotSchedule,
+    log_reader::LogReader, peer_fetch::PeerFetch, peer_versions::PeerVersion,
+    plan_table::PlanTable, ranks::Ranks, snapshot_schedule::SnapshotSchedule,
 };
 use crate::AppendId;
 
@@ -18,7 +18,7 @@
     /// What the stream says.
     pub(super) state: ConfigurationState,
     /// The same, for the path of a call.
-    pub(super) compiled: ClassificationTable,
+    pub(super) classification_table: ClassificationTable,
     /// When the version in force came in force here, on the monotonic clock.
     pub(super) in_force_since: Duration,
     /// Reads of the stream.
@@ -34,7 +34,7 @@
     /// Plans made here.
     pub(super) plans: PlanTable,
     /// What other nodes said they have in force.
-    pub(super) heard: BTreeMap<SocketAddr, HeardVersion>,
+    pub(super) peer_versions: BTreeMap<SocketAddr, PeerVersion>,
     /// This node's place among those that read the stream.
     pub(super) ranks: Ranks,
     /// Calls seen lately.
@@ -64,7 +64,8 @@
         method: &str,
         path: &str,
     ) -> Classification {
-        self.compiled.classify(caller, service, method, path)
+        self.classification_table
+            .classify(caller, service, method, path)
     }
 
     /// The intents in force, in the order of their services.
@@ -88,7 +89,7 @@
                  node told it; it serves with defaults, so no caller is protected here",
             ));
         }
-        if let Some(doubt) = &self.reader.doubt {
+        if let Some(doubt) = &self.reader.fault {
             doubts.push(doubt.to_string());
         }
         if let Some(since) = self.reader.failing_since {
--- a/crates/kumquatquay-core/src/configuration/confirmation.rs
+++ b/crates/kumquatquay-core/src/configuration/confirmation.rs
@@ -7,11 +7,11 @@
     OperatorReply,
 };
 
-use super::{configuration_table::AppendPurpose, differences::differences, reading};
+use super::{configuration_table::AppendPurpose, differences::differences, log_reading};
 use crate::{AppendId, Blackboard, Counter, Moment, OperatorOutput, OperatorRequestId, Output};
 
 /// How long an operator waits for certainty.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause before a change is appended again after a lost answer.
 const APPEND_PAUSE: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
     requests: Vec<OperatorRequestId>,
     /// What had been taken in at the start; the change had not won by then.
     started_through: Option<LogOffset>,
-    give_up_at: Duration,
+    expires_at: Duration,
     /// The append under way.
     append: Option<AppendId>,
     /// When to append again.
@@ -50,7 +50,7 @@
     out: &mut Vec<Output>,
 ) {
     let id = change.id;
-    if let Some(version) = board.configuration.state.version_of(id) {
+    if let Some(version) = board.configuration.state.accepted_version(id) {
         reply(out, request, accepted(version, true));
         return;
     }
@@ -69,7 +69,7 @@
             change,
             requests: vec![request],
             started_through,
-            give_up_at: now.monotonic + PATIENCE,
+            expires_at: now.monotonic + CONFIRMATION_TIMEOUT,
             append: None,
             append_at: None,
             may_be_appended: false,
@@ -87,7 +87,7 @@
              the plan is current; nothing was changed; confirm again later or at another node",
         ));
     }
-    if let Some(doubt) = &configuration.reader.doubt {
+    if let Some(doubt) = &configuration.reader.fault {
         return Some(refused(format!("{doubt}; nothing was changed")));
     }
     if configuration.state.conflicts(change).next().is_some() {
@@ -130,8 +130,8 @@
         confirmation.may_be_appended = true;
         confirmation.appended_at.get_or_insert(offset);
     }
-    reading::hurry(board);
-    settle(board, out);
+    log_reading::read_immediately(board);
+    finish_decided(board, out);
 }
 
 /// The log certainly did not take the record.
@@ -171,7 +171,7 @@
         confirmation.may_be_appended = true;
         confirmation.append_at = Some(now.monotonic + APPEND_PAUSE);
     }
-    reading::hurry(board);
+    log_reading::read_immediately(board);
 }
 
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
@@ -185,37 +185,37 @@
     for id in due {
         append(board, id, out);
     }
-    give_up(board, now, out);
+    finish_expired(board, now, out);
 }
 
-fn give_up(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn finish_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let confirmations = board.configuration.confirmations.iter();
-    let late = confirmations.filter(|(_, late)| now.monotonic >= late.give_up_at);
-    let late: Vec<ChangeId> = late.map(|(id, _)| *id).collect();
-    for id in late {
+    let expired = confirmations.filter(|(_, expired)| now.monotonic >= expired.expires_at);
+    let expired: Vec<ChangeId> = expired.map(|(id, _)| *id).collect();
+    for id in expired {
         finish(board, id, &undecided(), out);
     }
 }
 
 /// Ends the confirmations whose end is known from what has been taken in.
-pub(super) fn settle(board: &mut Blackboard, out: &mut Vec<Output>) {
+pub(super) fn finish_decided(board: &mut Blackboard, out: &mut Vec<Output>) {
     let ids: Vec<ChangeId> = board.configuration.confirmations.keys().copied().collect();
     for id in ids {
-        if let Some(reply) = ending_of(board, id) {
+        if let Some(reply) = outcome(board, id) {
             finish(board, id, &reply, out);
         }
     }
 }
 
-fn ending_of(board: &Blackboard, id: ChangeId) -> Option<OperatorReply> {
+fn outcome(board: &Blackboard, id: ChangeId) -> Option<OperatorReply> {
     let state = &board.configuration.state;
-    if let Some(version) = state.version_of(id) {
+    if let Some(version) = state.accepted_version(id) {
         return Some(accepted(version, false));
     }
     let confirmation = board.configuration.confirmations.get(&id)?;
     let change = &confirmation.change;
     let has_conflict = state.conflicts(change).next().is_some();
-    if has_conflict && remembers_since(board, confirmation.started_through) {
+    if has_conflict && has_history_since(board, confirmation.started_through) {
         return Some(conflict(board, change));
     }
     let is_read = confirmation
@@ -228,7 +228,7 @@
 ///
 /// If they are not, this change itself may have won and been forgotten, and
 /// "lost" would be wrong.
-fn remembers_since(board: &Blackboard, through: Option<LogOffset>) -> bool {
+fn has_history_since(board: &Blackboard, through: Option<LogOffset>) -> bool {
     let changes = board
         .configuration
         .state
@@ -236,12 +236,12 @@
     changes.is_some()
 }
 
-fn finish(board: &mut Blackboard, id: ChangeId, ending: &OperatorReply, out: &mut Vec<Output>) {
+fn finish(board: &mut Blackboard, id: ChangeId, outcome: &OperatorReply, out: &mut Vec<Output>) {
     let Some(confirmation) = board.configuration.confirmations.remove(&id) else {
         return;
     };
     for request in confirmation.requests {
-        reply(out, request, ending.clone());
+        reply(out, request, outcome.clone());
     }
 }
 
--- a/crates/kumquatquay-core/src/configuration/controller.rs
+++ b/crates/kumquatquay-core/src/configuration/controller.rs
@@ -6,9 +6,9 @@
 
 use super::{
     configuration_table::AppendPurpose,
-    confirmation, peer_fetch, planner, ranks,
-    reading::{self, ReadAnswer},
-    snapshot_schedule, start_over, status,
+    confirmation,
+    log_reading::{self, ReadAnswer},
+    peer_fetch, planner, ranks, snapshot_schedule, start_over, status,
 };
 use crate::{
     AppendId, Blackboard, LogInput, Moment, OperatorInput, OperatorOutput, OperatorRequestId,
@@ -18,7 +18,7 @@
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     ranks::on_tick(board, now);
     peer_fetch::on_tick(board, now, out);
-    reading::on_tick(board, now, out);
+    log_reading::on_tick(board, now, out);
     confirmation::on_tick(board, now, out);
     snapshot_schedule::on_tick(board, now, out);
     board.configuration.plans.on_tick(now.monotonic);
@@ -26,7 +26,7 @@
 }
 
 /// Whether the log answers the read that is under way.
-pub(crate) fn awaits(board: &Blackboard, input: &LogInput) -> bool {
+pub(crate) fn is_awaiting(board: &Blackboard, input: &LogInput) -> bool {
     let outstanding = board.configuration.reader.outstanding;
     matches!(input, LogInput::Read { read, .. }
         if outstanding.is_some_and(|outstanding| outstanding.id == *read))
@@ -64,9 +64,9 @@
                 next_offset,
                 era,
             };
-            reading::on_answer(board, now, read, answer, out);
+            log_reading::on_answer(board, now, read, answer, out);
         }
-        LogInput::ReadFailed { read } => reading::on_failed(board, now, read, out),
+        LogInput::ReadFailed { read } => log_reading::on_failed(board, now, read, out),
     }
 }
 
--- a/crates/kumquatquay-core/src/configuration/demand.rs
+++ b/crates/kumquatquay-core/src/configuration/demand.rs
@@ -21,7 +21,7 @@
     window: BTreeMap<ServiceName, BTreeMap<CallerName, u32>>,
     last_window: BTreeMap<ServiceName, BTreeMap<CallerName, u32>>,
     pairs_count: usize,
-    window_ends: Duration,
+    window_ends_at: Duration,
 }
 
 /// Counts a call that enters at this node.
@@ -45,10 +45,10 @@
 
 impl Demand {
     pub(super) fn on_tick(&mut self, now: Moment) {
-        if now.monotonic >= self.window_ends {
+        if now.monotonic >= self.window_ends_at {
             self.last_window = std::mem::take(&mut self.window);
             self.pairs_count = 0;
-            self.window_ends = now.monotonic + WINDOW;
+            self.window_ends_at = now.monotonic + WINDOW;
         }
     }
 
--- a/crates/kumquatquay-core/src/configuration/in_force.rs
+++ b/crates/kumquatquay-core/src/configuration/in_force.rs
@@ -7,11 +7,11 @@
     ConfigurationVersion, ServiceName,
 };
 
-use super::configuration_state::{ConfigurationState, Verdict};
+use super::configuration_state::{ChangeOutcome, ConfigurationState};
 use crate::{Blackboard, Counter, LogRecord, Moment, Note, Output, Severity};
 
 /// Takes in a change from the log.
-pub(super) fn apply(
+pub(super) fn apply_change(
     board: &mut Blackboard,
     now: Moment,
     record: &LogRecord,
@@ -21,16 +21,16 @@
     let digest = ConfigurationRecord::digest(&record.bytes);
     let services = services_of(&change);
     let state = &mut board.configuration.state;
-    let verdict = state.apply(record.offset, digest, record.appended_unix_ms, change);
-    match verdict {
-        Verdict::Won => on_in_force(board, now, &services, out),
-        Verdict::Repeat(_) => board.counters.increment(Counter::ConfigurationRepeats),
-        Verdict::Lost => board.counters.increment(Counter::ConfigurationChangesLost),
+    let outcome = state.apply(record.offset, digest, record.appended_unix_ms, change);
+    match outcome {
+        ChangeOutcome::Accepted => on_in_force(board, now, &services, out),
+        ChangeOutcome::Duplicate(_) => board.counters.increment(Counter::ConfigurationRepeats),
+        ChangeOutcome::Rejected => board.counters.increment(Counter::ConfigurationChangesLost),
     }
 }
 
 /// Takes in changes that another node saw win. Returns whether all fitted.
-pub(super) fn accept(
+pub(super) fn apply_peer_changes(
     board: &mut Blackboard,
     now: Moment,
     changes: Vec<AcceptedChange>,
@@ -47,7 +47,7 @@
 }
 
 /// Takes in a whole state, if it is later than this node's. Returns whether it was.
-pub(super) fn adopt(
+pub(super) fn adopt_snapshot(
     board: &mut Blackboard,
     now: Moment,
     snapshot: ConfigurationSnapshot,
@@ -115,7 +115,9 @@
     configuration.in_force_since = now.monotonic;
     for service in services {
         let intent = configuration.state.intent(service);
-        configuration.compiled.set(service, intent);
+        configuration
+            .classification_table
+            .set_intent(service, intent);
     }
     if let Some(version) = configuration.version() {
         let detail = format!(
--- a/crates/kumquatquay-core/src/configuration/log_reader.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reader.rs
@@ -13,9 +13,9 @@
     /// The read under way.
     pub(super) outstanding: Option<OutstandingRead>,
     /// How long the next read is waited for beyond its hold.
-    pub(super) patience: Duration,
+    pub(super) read_timeout: Duration,
     /// No read starts before, on the monotonic clock.
-    pub(super) next_at: Duration,
+    pub(super) next_read_at: Duration,
     /// Reads in a row that failed.
     pub(super) failures_count: u32,
     /// When the first of them failed.
@@ -35,7 +35,7 @@
     /// Whether the log said that the stream never held a record.
     pub(super) has_seen_empty_stream: bool,
     /// What is wrong with the stream.
-    pub(super) doubt: Option<LogDoubt>,
+    pub(super) fault: Option<LogFault>,
     /// Oldest offset that the log keeps, when it last answered.
     pub(super) oldest_offset: LogOffset,
     /// Offset that the next append gets, when it last answered.
@@ -52,7 +52,7 @@
     /// Until when the log may hold it for news.
     pub(super) held_until: Duration,
     /// When it is given up without an answer.
-    pub(super) give_up_at: Duration,
+    pub(super) expires_at: Duration,
 }
 
 /// What a read is for.
@@ -68,7 +68,7 @@
 
 /// What is wrong with the stream; the text is for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-pub(crate) enum LogDoubt {
+pub(crate) enum LogFault {
     /// The log ends before what this node has read.
     #[display(
         "the log went backwards: it ends before offset {next_offset}, and this node has read \
--- a/crates/kumquatquay-core/src/configuration/reading.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reading.rs
@@ -7,7 +7,7 @@
 
 use super::{
     confirmation, in_force,
-    log_reader::{LogDoubt, OutstandingRead, ReadPurpose},
+    log_reader::{LogFault, OutstandingRead, ReadPurpose},
     peer_fetch, snapshot_schedule,
 };
 use crate::{
@@ -15,10 +15,10 @@
 };
 
 /// How long the log may hold back an empty answer to a follower.
-const FOLLOW_WAIT: Duration = Duration::from_secs(5);
+const LONG_POLL_WAIT: Duration = Duration::from_secs(5);
 
 /// The same while an operator waits for a confirmation.
-const CONFIRM_WAIT: Duration = Duration::from_millis(200);
+const CONFIRMATION_LONG_POLL_WAIT: Duration = Duration::from_millis(200);
 
 /// Beyond the wait, how long until a read counts as failed, at first and at the longest.
 ///
@@ -27,19 +27,19 @@
 /// change confirmed there was not in force within its 14 s. A log that takes several seconds
 /// is slow and no reason to call it down, so the patience doubles with each read that is
 /// given up, and is kept at twice what answers take. The longest one and
-/// [`LONGEST_PAUSE`] are 12 s together.
-const PATIENCE_LEAST: Duration = Duration::from_secs(2);
-const PATIENCE_MOST: Duration = Duration::from_secs(8);
+/// [`MAX_RETRY_PAUSE`] are 12 s together.
+const MIN_READ_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_READ_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Pause after the first failed read; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// The longest pause after a failed read. Half of it, and the read, still fit
 /// the time in which a change must be in force.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(4);
 
 /// Pause between reads while the stream is in doubt.
-const DOUBT_PAUSE: Duration = Duration::from_secs(2);
+const FAULT_PAUSE: Duration = Duration::from_secs(2);
 
 /// Time between reads of a node that does not follow the log, on average.
 ///
@@ -49,11 +49,11 @@
 
 /// How long a node that started with nothing waits for another node before it
 /// asks the log, so that 470 replacements a day don't all read the whole stream.
-const PEERS_FIRST: Duration = Duration::from_millis(500);
+const PEER_FETCH_HEAD_START: Duration = Duration::from_millis(500);
 
 /// How long a node that heard of a later version waits for the answer of
 /// another node before it asks the log.
-const BEHIND_PATIENCE: Duration = Duration::from_secs(2);
+const PEER_FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An answer of the log to a read.
 pub(super) struct ReadAnswer {
@@ -65,37 +65,39 @@
 
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     if let Some(read) = board.configuration.reader.outstanding {
-        if now.monotonic < read.give_up_at {
+        if now.monotonic < read.expires_at {
             return;
         }
-        set_patience(board, (read.give_up_at - read.held_until) * 2);
+        set_read_timeout(board, (read.expires_at - read.held_until) * 2);
         on_failed(board, now, read.id, out);
     }
-    let may_read = board.settings.has_log && now.monotonic >= board.configuration.reader.next_at;
-    if may_read && wants_read(board, now) {
+    let may_read =
+        board.settings.has_log && now.monotonic >= board.configuration.reader.next_read_at;
+    if may_read && is_read_due(board, now) {
         start(board, now, out);
     }
 }
 
-fn set_patience(board: &mut Blackboard, patience: Duration) {
-    board.configuration.reader.patience = patience.clamp(PATIENCE_LEAST, PATIENCE_MOST);
+fn set_read_timeout(board: &mut Blackboard, read_timeout: Duration) {
+    board.configuration.reader.read_timeout =
+        read_timeout.clamp(MIN_READ_TIMEOUT, MAX_READ_TIMEOUT);
 }
 
 /// Lets the next read start at once.
-pub(super) fn hurry(board: &mut Blackboard) {
-    board.configuration.reader.next_at = Duration::ZERO;
+pub(super) fn read_immediately(board: &mut Blackboard) {
+    board.configuration.reader.next_read_at = Duration::ZERO;
 }
 
-fn wants_read(board: &Blackboard, now: Moment) -> bool {
+fn is_read_due(board: &Blackboard, now: Moment) -> bool {
     let configuration = &board.configuration;
     let reader = &configuration.reader;
     if !configuration.is_established() {
-        return now.monotonic >= configuration.peers.started_at + PEERS_FIRST;
+        return now.monotonic >= configuration.peers.started_at + PEER_FETCH_HEAD_START;
     }
     let is_behind = configuration
         .peers
         .behind_since
-        .is_some_and(|since| now.monotonic >= since + BEHIND_PATIENCE);
+        .is_some_and(|since| now.monotonic >= since + PEER_FETCH_TIMEOUT);
     configuration.ranks.is_follower()
         || !configuration.confirmations.is_empty()
         || is_behind
@@ -112,23 +114,23 @@
         (None, Some(through)) if configuration.reader.must_verify => (ReadPurpose::Verify, through),
         (None, _) => (ReadPurpose::Follow, configuration.state.next_offset()),
     };
-    let is_quiet = purpose == ReadPurpose::Follow
+    let may_long_poll = purpose == ReadPurpose::Follow
         && configuration.reader.is_caught_up
         && configuration.ranks.is_follower();
-    let wait = match is_quiet {
-        _ if !configuration.confirmations.is_empty() => CONFIRM_WAIT,
-        true => FOLLOW_WAIT,
+    let wait = match may_long_poll {
+        _ if !configuration.confirmations.is_empty() => CONFIRMATION_LONG_POLL_WAIT,
+        true => LONG_POLL_WAIT,
         false => Duration::ZERO,
     };
     configuration.reader.poll_at =
         now.monotonic + Duration::from_secs(POLL_INTERVAL_S / 2 + spread_s);
     let held_until = now.monotonic + wait;
-    let patience = configuration.reader.patience.max(PATIENCE_LEAST);
+    let read_timeout = configuration.reader.read_timeout.max(MIN_READ_TIMEOUT);
     configuration.reader.outstanding = Some(OutstandingRead {
         id,
         purpose,
         held_until,
-        give_up_at: held_until + patience,
+        expires_at: held_until + read_timeout,
     });
     out.push(Output::Read {
         read: id,
@@ -139,21 +141,21 @@
 }
 
 /// Takes the outstanding read if it has this id.
-fn take(board: &mut Blackboard, read: ReadId) -> Option<OutstandingRead> {
+fn take_outstanding(board: &mut Blackboard, read: ReadId) -> Option<OutstandingRead> {
     let outstanding = &mut board.configuration.reader.outstanding;
     outstanding.take_if(|outstanding| outstanding.id == read)
 }
 
 pub(super) fn on_failed(board: &mut Blackboard, now: Moment, read: ReadId, out: &mut Vec<Output>) {
-    if take(board, read).is_none() {
+    if take_outstanding(board, read).is_none() {
         return;
     }
     board.counters.increment(Counter::ConfigurationReadsFailed);
     let spread = board.random.random_range(0.5..1.0);
     let reader = &mut board.configuration.reader;
-    let pause = FIRST_PAUSE * 2_u32.pow(reader.failures_count.min(10));
+    let pause = MIN_RETRY_PAUSE * 2_u32.pow(reader.failures_count.min(10));
     reader.failures_count += 1;
-    reader.next_at = now.monotonic + pause.min(LONGEST_PAUSE).mul_f64(spread);
+    reader.next_read_at = now.monotonic + pause.min(MAX_RETRY_PAUSE).mul_f64(spread);
     reader.must_verify = true;
     reader.is_caught_up = false;
     if reader.failing_since.is_none() {
@@ -178,7 +180,7 @@
     if outstanding.id != read {
         return;
     }
-    if !is_in_order(&answer) {
+    if !has_contiguous_offsets(&answer) {
         out.push(Output::Note(Note::warn(
             "log_out_of_order",
             "the log answered a read with records out of order; they were not taken in",
@@ -192,16 +194,16 @@
         return;
     }
     board.configuration.reader.outstanding = None;
-    set_patience(
+    set_read_timeout(
         board,
         now.monotonic.saturating_sub(outstanding.held_until) * 2,
     );
-    on_log_answers(board, out);
-    if has_returned(board, answer.era, out) && outstanding.purpose != ReadPurpose::Verify {
-        hurry(board);
+    on_log_available(board, out);
+    if detect_restore(board, answer.era, out) && outstanding.purpose != ReadPurpose::Verify {
+        read_immediately(board);
         return;
     }
-    if goes_backwards(board, now, &answer, out) {
+    if detect_truncation(board, now, &answer, out) {
         return;
     }
     board.configuration.reader.oldest_offset = answer.oldest_offset;
@@ -215,7 +217,7 @@
 
 /// Whether the log came back from a copy. It may hold other records at the offsets that this node
 /// has read, so the last one is checked before anything is taken in.
-fn has_returned(board: &mut Blackboard, era: Option<StoreEra>, out: &mut Vec<Output>) -> bool {
+fn detect_restore(board: &mut Blackboard, era: Option<StoreEra>, out: &mut Vec<Output>) -> bool {
     let reader = &mut board.configuration.reader;
     let EraChange::Restored { previous } = reader.eras.observe(era) else {
         return false;
@@ -224,7 +226,7 @@
     reader.is_caught_up = false;
     reader.last_scanned = None;
     reader.scan_from = reader.scan_from.map(|_| 0);
-    snapshot_schedule::on_log_returned(&mut board.configuration.snapshots);
+    snapshot_schedule::on_log_restored(&mut board.configuration.snapshots);
     board.counters.increment(Counter::ConfigurationLogReturns);
     out.push(Output::Note(Note::warn(
         "log_returned_from_copy",
@@ -238,7 +240,7 @@
     true
 }
 
-fn on_log_answers(board: &mut Blackboard, out: &mut Vec<Output>) {
+fn on_log_available(board: &mut Blackboard, out: &mut Vec<Output>) {
     let reader = &mut board.configuration.reader;
     reader.failures_count = 0;
     if reader.failing_since.take().is_some() {
@@ -253,14 +255,14 @@
 ///
 /// A hole would be a change that this node never hears of, so an answer with
 /// one counts as no answer.
-fn is_in_order(answer: &ReadAnswer) -> bool {
+fn has_contiguous_offsets(answer: &ReadAnswer) -> bool {
     let offsets: Vec<LogOffset> = answer.records.iter().map(|record| record.offset).collect();
     let is_dense = offsets.windows(2).all(|pair| pair[0] + 1 == pair[1]);
     let is_below_end = offsets.last().is_none_or(|last| *last < answer.next_offset);
     is_dense && is_below_end && answer.oldest_offset <= answer.next_offset
 }
 
-fn goes_backwards(
+fn detect_truncation(
     board: &mut Blackboard,
     now: Moment,
     answer: &ReadAnswer,
@@ -272,25 +274,25 @@
     if answer.next_offset > through {
         return false;
     }
-    let doubt = LogDoubt::WentBackwards {
+    let fault = LogFault::WentBackwards {
         next_offset: answer.next_offset,
         through,
     };
-    raise(board, now, doubt, out);
+    raise_fault(board, now, fault, out);
     true
 }
 
 /// Reports a doubt once, and takes nothing until the stream is verified.
-fn raise(board: &mut Blackboard, now: Moment, doubt: LogDoubt, out: &mut Vec<Output>) {
+fn raise_fault(board: &mut Blackboard, now: Moment, fault: LogFault, out: &mut Vec<Output>) {
     let reader = &mut board.configuration.reader;
     reader.must_verify = true;
     reader.is_caught_up = false;
-    reader.next_at = now.monotonic + DOUBT_PAUSE;
-    if reader.doubt.as_ref() == Some(&doubt) {
+    reader.next_read_at = now.monotonic + FAULT_PAUSE;
+    if reader.fault.as_ref() == Some(&fault) {
         return;
     }
-    let detail = doubt.to_string();
-    reader.doubt = Some(doubt);
+    let detail = fault.to_string();
+    reader.fault = Some(fault);
     board.counters.increment(Counter::ConfigurationLogDoubts);
     out.push(Output::Note(Note::new(
         Severity::Error,
@@ -308,11 +310,11 @@
     if is_kept {
         let Some(first) = records.first().filter(|first| first.offset == through) else {
             // The log said that it keeps the record and did not give it; ask again.
-            board.configuration.reader.next_at = now.monotonic + FIRST_PAUSE;
+            board.configuration.reader.next_read_at = now.monotonic + MIN_RETRY_PAUSE;
             return;
         };
         if ConfigurationRecord::digest(&first.bytes) != board.configuration.state.digest() {
-            raise(board, now, LogDoubt::OtherStream { through }, out);
+            raise_fault(board, now, LogFault::OtherStream { through }, out);
             return;
         }
         records.remove(0);
@@ -326,21 +328,21 @@
         on_gap(board, now, answer, out);
         return;
     }
-    board.configuration.reader.doubt = None;
+    board.configuration.reader.fault = None;
     if answer.next_offset == 0 {
         board.configuration.reader.has_seen_empty_stream = true;
     }
     for record in answer.records {
         if record.offset == board.configuration.state.next_offset() {
-            take_in(board, now, record, out);
+            apply_record(board, now, record, out);
         }
     }
     let is_caught_up = board.configuration.state.next_offset() == answer.next_offset;
     board.configuration.reader.is_caught_up = is_caught_up;
     if is_caught_up {
-        peer_fetch::forget_behind(board, true);
+        peer_fetch::clear_behind(board, true);
     }
-    confirmation::settle(board, out);
+    confirmation::finish_decided(board, out);
 }
 
 /// The log has forgotten records that this node has not read.
@@ -360,7 +362,7 @@
             board.configuration.state.next_offset()
         ),
     )));
-    peer_fetch::ask_any(board, now, out);
+    peer_fetch::ask_any_node(board, now, out);
     scan(board, now, answer, out);
 }
 
@@ -378,16 +380,16 @@
         snapshot_schedule::on_snapshot_read(board, now, &record, snapshot.through);
         let bridges =
             snapshot.through + 1 >= answer.oldest_offset && snapshot.through < record.offset;
-        if bridges && in_force::adopt(board, now, snapshot, out) {
-            on_bridged(board);
-            confirmation::settle(board, out);
+        if bridges && in_force::adopt_snapshot(board, now, snapshot, out) {
+            on_gap_closed(board);
+            confirmation::finish_decided(board, out);
             return;
         }
     }
     if board.configuration.state.next_offset() >= answer.oldest_offset
         && board.configuration.is_established()
     {
-        on_bridged(board);
+        on_gap_closed(board);
         return;
     }
     match last {
@@ -396,36 +398,36 @@
         }
         _ => {
             let oldest_offset = answer.oldest_offset;
-            raise(board, now, LogDoubt::HistoryLost { oldest_offset }, out);
+            raise_fault(board, now, LogFault::HistoryLost { oldest_offset }, out);
             board.configuration.reader.scan_from = Some(oldest_offset);
-            peer_fetch::ask_any(board, now, out);
+            peer_fetch::ask_any_node(board, now, out);
         }
     }
 }
 
 /// Another node or a snapshot has made up for the gap.
-pub(super) fn on_bridged(board: &mut Blackboard) {
+pub(super) fn on_gap_closed(board: &mut Blackboard) {
     let reader = &mut board.configuration.reader;
     reader.scan_from = None;
     reader.must_verify = true;
-    reader.next_at = Duration::ZERO;
-    if matches!(reader.doubt, Some(LogDoubt::HistoryLost { .. })) {
-        reader.doubt = None;
+    reader.next_read_at = Duration::ZERO;
+    if matches!(reader.fault, Some(LogFault::HistoryLost { .. })) {
+        reader.fault = None;
     }
 }
 
-fn take_in(board: &mut Blackboard, now: Moment, record: LogRecord, out: &mut Vec<Output>) {
+fn apply_record(board: &mut Blackboard, now: Moment, record: LogRecord, out: &mut Vec<Output>) {
     let digest = ConfigurationRecord::digest(&record.bytes);
     match ConfigurationRecord::from_bytes(&record.bytes, &board.settings.key) {
         Ok(ConfigurationRecord::Change(change)) => {
-            in_force::apply(board, now, &record, change, out);
+            in_force::apply_change(board, now, &record, change, out);
         }
         Ok(ConfigurationRecord::Snapshot(snapshot)) => {
             snapshot_schedule::on_snapshot_read(board, now, &record, snapshot.through);
-            board.configuration.state.pass_over(record.offset, digest);
+            board.configuration.state.advance_to(record.offset, digest);
         }
         Err(error) => {
-            board.configuration.state.pass_over(record.offset, digest);
+            board.configuration.state.advance_to(record.offset, digest);
             let detail = format!("record {} was passed over: {error}", record.offset);
             out.push(Output::Note(Note::warn(
                 "configuration_record_unreadable",
--- a/crates/kumquatquay-core/src/configuration/mod.rs
+++ b/crates/kumquatquay-core/src/configuration/mod.rs
@@ -3,7 +3,7 @@
 //! Each matter has a module of plain functions over the blackboard:
 //!
 //! - `configuration_state`: what follows from the stream, a function of its records
-//! - `reading`, `peer_fetch`, `heard`: how the node keeps that state current
+//! - `log_reading`, `peer_fetch`, `peer_versions`: how the node keeps that state current
 //! - `in_force`, `classification_table`: how it reaches the path of a call
 //! - `snapshot_schedule`: appends the state again before the log forgets it
 //! - `planner`, `plan_warnings`, `findings`, `differences`, `confirmation`, `status`: operators
@@ -18,15 +18,15 @@
 mod demand;
 mod differences;
 mod findings;
-mod heard;
 mod in_force;
 mod log_reader;
+mod log_reading;
 mod peer_fetch;
+mod peer_versions;
 mod plan_table;
 mod plan_warnings;
 mod planner;
 mod ranks;
-mod reading;
 mod snapshot_schedule;
 mod start_over;
 mod status;
@@ -34,7 +34,7 @@
 pub(crate) use classification::{Classification, classify};
 pub use configuration_dump::ConfigurationDump;
 pub(crate) use configuration_table::ConfigurationTable;
-pub(crate) use controller::{awaits, on_log, on_operator, on_tick};
+pub(crate) use controller::{is_awaiting, on_log, on_operator, on_tick};
 pub(crate) use demand::observe_call;
-pub(crate) use heard::{on_version_heard, version_to_tell};
 pub(crate) use peer_fetch::{on_bulk_answer, on_bulk_failed, on_bulk_question};
+pub(crate) use peer_versions::{on_peer_version, version_to_gossip};
--- a/crates/kumquatquay-core/src/configuration/peer_fetch.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_fetch.rs
@@ -7,7 +7,7 @@
 };
 use rand::seq::IteratorRandom;
 
-use super::{confirmation, heard, in_force, reading};
+use super::{confirmation, in_force, log_reading, peer_versions};
 use crate::{Blackboard, Counter, Moment, Note, Output};
 
 /// When a question without an answer is given up.
@@ -17,11 +17,11 @@
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Failed reads in a row before a follower asks another data centre.
-const FAILURES_TO_ASK_FAR_COUNT: u32 = 2;
+const FAILURES_TO_ASK_OTHER_DATA_CENTRE_COUNT: u32 = 2;
 
 /// Time between questions to another data centre: three followers ask, so that
 /// one of them does so about every second.
-const ASK_FAR_INTERVAL: Duration = Duration::from_secs(3);
+const ASK_OTHER_DATA_CENTRE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Fetches from other nodes.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     /// Since when a later version than this node's is known to exist.
     pub(super) behind_since: Option<Duration>,
     /// No question to another data centre before.
-    ask_far_at: Duration,
+    ask_other_data_centre_at: Duration,
     /// The latest version heard of.
     highest: Option<ConfigurationVersion>,
     /// When the node first ticked.
@@ -51,14 +51,14 @@
     }
     if peers
         .outstanding
-        .is_some_and(|(_, give_up_at)| now.monotonic >= give_up_at)
+        .is_some_and(|(_, expires_at)| now.monotonic >= expires_at)
     {
         peers.outstanding = None;
     }
     if !board.configuration.is_established() {
-        ask_any(board, now, out);
+        ask_any_node(board, now, out);
     }
-    ask_far(board, now, out);
+    ask_other_data_centre(board, now, out);
 }
 
 /// Asks a node of another data centre while the log does not answer a follower.
@@ -66,16 +66,20 @@
 /// A data centre that is cut off declares the others' nodes dead, and gossip
 /// takes a while to find them again. Its followers ask all the same, so that
 /// the first exchange that gets through after the cut brings what was missed.
-fn ask_far(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn ask_other_data_centre(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let configuration = &board.configuration;
-    let is_cut = configuration.ranks.is_follower()
-        && configuration.reader.failures_count >= FAILURES_TO_ASK_FAR_COUNT
+    let is_log_unreachable = configuration.ranks.is_follower()
+        && configuration.reader.failures_count >= FAILURES_TO_ASK_OTHER_DATA_CENTRE_COUNT
         && configuration.is_established();
     let peers = &configuration.peers;
-    if !is_cut || peers.outstanding.is_some() || now.monotonic < peers.ask_far_at {
+    if !is_log_unreachable
+        || peers.outstanding.is_some()
+        || now.monotonic < peers.ask_other_data_centre_at
+    {
         return;
     }
-    board.configuration.peers.ask_far_at = now.monotonic + ASK_FAR_INTERVAL;
+    board.configuration.peers.ask_other_data_centre_at =
+        now.monotonic + ASK_OTHER_DATA_CENTRE_INTERVAL;
     let own = board.settings.data_centre.clone();
     let members = board.members.iter();
     let far = members.filter(|member| member.data_centre != own);
@@ -86,7 +90,7 @@
 }
 
 /// Another node told of a version later than this node's.
-pub(super) fn on_behind(
+pub(super) fn on_newer_version(
     board: &mut Blackboard,
     now: Moment,
     from: SocketAddr,
@@ -104,17 +108,17 @@
 }
 
 /// Asks some node of the data centre, or a seed where none is known.
-pub(super) fn ask_any(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+pub(super) fn ask_any_node(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let peers = &board.configuration.peers;
     if peers.outstanding.is_some() || now.monotonic < peers.ask_at {
         return;
     }
-    if let Some(to) = some_node(board) {
+    if let Some(to) = random_node(board) {
         ask(board, now, to, out);
     }
 }
 
-fn some_node(board: &mut Blackboard) -> Option<SocketAddr> {
+fn random_node(board: &mut Blackboard) -> Option<SocketAddr> {
     let own = board.members.own().clone();
     let others = board.members.iter().filter(|member| {
         member.control != own.control && member.state != MemberState::Gone && !member.is_suspect
@@ -215,14 +219,16 @@
     let answer = ConfigurationAnswer::from_bytes(answer);
     if let Ok(ConfigurationAnswer::Version(version)) = answer {
         if let Some(version) = version {
-            heard::on_version_heard(board, now, from, version, out);
+            peer_versions::on_peer_version(board, now, from, version, out);
         }
         return;
     }
     board.configuration.peers.outstanding = None;
-    let taken = match answer {
-        Ok(ConfigurationAnswer::Snapshot(snapshot)) => in_force::adopt(board, now, snapshot, out),
-        Ok(answer @ ConfigurationAnswer::Changes { .. }) => take_changes(board, now, answer, out),
+    let is_applied = match answer {
+        Ok(ConfigurationAnswer::Snapshot(snapshot)) => {
+            in_force::adopt_snapshot(board, now, snapshot, out)
+        }
+        Ok(answer @ ConfigurationAnswer::Changes { .. }) => apply_changes(board, now, answer, out),
         Ok(ConfigurationAnswer::Nothing | ConfigurationAnswer::Version(_)) => false,
         Err(error) => {
             let detail = format!("{from} answered with {error}");
@@ -233,15 +239,15 @@
             false
         }
     };
-    if taken {
-        reading::on_bridged(board);
-        forget_behind(board, false);
-        confirmation::settle(board, out);
+    if is_applied {
+        log_reading::on_gap_closed(board);
+        clear_behind(board, false);
+        confirmation::finish_decided(board, out);
     }
     ask_next(board, now, out);
 }
 
-fn take_changes(
+fn apply_changes(
     board: &mut Blackboard,
     now: Moment,
     answer: ConfigurationAnswer,
@@ -263,7 +269,7 @@
     let later = changes
         .into_iter()
         .filter(|accepted| Some(accepted.version) > known);
-    if !in_force::accept(board, now, later.collect(), out) {
+    if !in_force::apply_peer_changes(board, now, later.collect(), out) {
         let detail = "changes from another node don't follow on what is in force here; \
                       the log decides";
         out.push(Output::Note(Note::warn(
@@ -272,7 +278,7 @@
         )));
         return false;
     }
-    board.configuration.state.pass_over(through, digest);
+    board.configuration.state.advance_to(through, digest);
     true
 }
 
@@ -299,7 +305,7 @@
 
 /// Forgets that this node was behind, if it has the latest version heard of or
 /// has just read to the end of the log, which is the authority.
-pub(super) fn forget_behind(board: &mut Blackboard, is_at_end_of_log: bool) {
+pub(super) fn clear_behind(board: &mut Blackboard, is_at_end_of_log: bool) {
     let version = board.configuration.version();
     let peers = &mut board.configuration.peers;
     if is_at_end_of_log || version >= peers.highest {
--- a/crates/kumquatquay-core/src/configuration/plan_warnings.rs
+++ b/crates/kumquatquay-core/src/configuration/plan_warnings.rs
@@ -19,7 +19,7 @@
     warn_of_near_misses(board, intent, &mut warnings);
     warn_of_limits_below_demand(board, intent, &mut warnings);
     warn_of_capacity(board, intent, &mut warnings);
-    warn_of_hidden_priorities(intent, &mut warnings);
+    warn_of_shadowed_priorities(intent, &mut warnings);
     warn_of_idempotency(intent, &mut warnings);
     warnings
 }
@@ -44,19 +44,19 @@
 fn warn_of_limits_below_demand(board: &Blackboard, intent: &Intent, warnings: &mut Vec<String>) {
     let protected = protected_callers(intent);
     for limit in &intent.limits {
-        let seen = board
+        let demand_per_s = board
             .configuration
             .demand
             .calls_per_s(&intent.service, &limit.caller);
         let limited = f64::from(limit.calls_per_s);
-        if let Some(seen) = seen.filter(|seen| *seen > limited) {
+        if let Some(demand_per_s) = demand_per_s.filter(|demand_per_s| *demand_per_s > limited) {
             let what = if protected.contains(limit.caller.as_str()) {
                 "a protected caller"
             } else {
                 "it"
             };
             warnings.push(format!(
-                "{}: {} may make {limited:.0} calls a second, and this node alone sees {seen:.0}; \
+                "{}: {} may make {limited:.0} calls a second, and this node alone sees {demand_per_s:.0}; \
                  {what} will be refused",
                 intent.service, limit.caller
             ));
@@ -90,12 +90,12 @@
     }
     // A slot runs one request at a time, so the whole is `slots / time a request`.
     let longest_ms = 1_000.0 * f64::from(slots_count) / granted_per_s as f64;
-    let runs_ms = mean_run_ms(board, service);
-    match runs_ms {
-        Some(runs_ms) if runs_ms > longest_ms => warnings.push(format!(
+    let mean_ms = mean_run_ms(board, service);
+    match mean_ms {
+        Some(mean_ms) if mean_ms > longest_ms => warnings.push(format!(
             "{service}: its limits can't hold all protected callers: together they may make \
              {granted_per_s} calls a second, {slots_count} slots hold that while a call takes at \
-             most {longest_ms:.1} ms, and calls take {runs_ms:.1} ms now; the less important of \
+             most {longest_ms:.1} ms, and calls take {mean_ms:.1} ms now; the less important of \
              them will be refused"
         )),
         Some(_) => {}
@@ -114,7 +114,7 @@
     (service.latency_s > 0.0).then_some(service.latency_s * 1_000.0)
 }
 
-fn warn_of_hidden_priorities(intent: &Intent, warnings: &mut Vec<String>) {
+fn warn_of_shadowed_priorities(intent: &Intent, warnings: &mut Vec<String>) {
     for (rank, priority) in intent.priorities.iter().enumerate() {
         let earlier = intent.priorities[..rank].iter();
         let mut covering = earlier.filter(|earlier| {
--- a/crates/kumquatquay-core/src/configuration/planner.rs
+++ b/crates/kumquatquay-core/src/configuration/planner.rs
@@ -33,7 +33,7 @@
     if !findings.is_empty() {
         return OperatorReply::Findings { findings };
     }
-    make(board, now, edits)
+    make_plan(board, now, edits)
 }
 
 /// Plans the return to what a change replaced.
@@ -43,7 +43,7 @@
     version: Option<ConfigurationVersion>,
 ) -> OperatorReply {
     let wanted = version.or(board.configuration.version());
-    let Some(edits) = edits_back(board, wanted) else {
+    let Some(edits) = reverting_edits(board, wanted) else {
         return OperatorReply::Refused {
             message: String::from(
                 "no change of that version is remembered here; `kumquatquay intent history` \
@@ -51,11 +51,11 @@
             ),
         };
     };
-    make(board, now, edits)
+    make_plan(board, now, edits)
 }
 
 /// The intents that a change replaced.
-fn edits_back(
+fn reverting_edits(
     board: &Blackboard,
     version: Option<ConfigurationVersion>,
 ) -> Option<Vec<IntentEdit>> {
@@ -71,8 +71,8 @@
     )
 }
 
-fn make(board: &mut Blackboard, now: Moment, edits: Vec<IntentEdit>) -> OperatorReply {
-    let change = change_of(board, now, &edits);
+fn make_plan(board: &mut Blackboard, now: Moment, edits: Vec<IntentEdit>) -> OperatorReply {
+    let change = change_from_edits(board, now, &edits);
     let record = ConfigurationRecord::Change(change.clone()).to_bytes(&board.settings.key);
     if record.len() > ConfigurationRecord::LIMIT_BYTES {
         return OperatorReply::Refused {
@@ -100,7 +100,11 @@
     OperatorReply::Plan(plan)
 }
 
-fn change_of(board: &mut Blackboard, now: Moment, edits: &[IntentEdit]) -> ConfigurationChange {
+fn change_from_edits(
+    board: &mut Blackboard,
+    now: Moment,
+    edits: &[IntentEdit],
+) -> ConfigurationChange {
     let id = new_change_id(board, now);
     let state = &board.configuration.state;
     let intents = edits
--- a/crates/kumquatquay-core/src/configuration/ranks.rs
+++ b/crates/kumquatquay-core/src/configuration/ranks.rs
@@ -24,16 +24,16 @@
 #[derive(Debug, Default)]
 pub(crate) struct Ranks {
     /// Place in the data centre, from 0.
-    pub(super) in_data_centre: usize,
+    pub(super) rank_in_data_centre: usize,
     /// Place among all members, from 0.
-    pub(super) overall: usize,
+    pub(super) overall_rank: usize,
     refresh_at: Duration,
 }
 
 impl Ranks {
     /// Whether this node is one of those that follow the log.
     pub(super) fn is_follower(&self) -> bool {
-        self.in_data_centre < FOLLOWERS_COUNT
+        self.rank_in_data_centre < FOLLOWERS_COUNT
     }
 }
 
@@ -44,18 +44,18 @@
     }
     let own = board.members.own();
     let own_weight = weight(own.control);
-    let mut overall = 0;
-    let mut in_data_centre = 0;
+    let mut overall_rank = 0;
+    let mut rank_in_data_centre = 0;
     for member in board.members.iter() {
         let is_alive = member.state != MemberState::Gone && !member.is_suspect;
         if is_alive && weight(member.control) > own_weight {
-            overall += 1;
-            in_data_centre += usize::from(member.data_centre == own.data_centre);
+            overall_rank += 1;
+            rank_in_data_centre += usize::from(member.data_centre == own.data_centre);
         }
     }
     board.configuration.ranks = Ranks {
-        in_data_centre,
-        overall,
+        rank_in_data_centre,
+        overall_rank,
         refresh_at: now.monotonic + REFRESH_INTERVAL,
     };
 }
--- a/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
+++ b/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
@@ -9,7 +9,7 @@
 
 /// The longest time between two snapshots, if the log keeps records for at
 /// least three times as long.
-const LONGEST_INTERVAL: Duration = Duration::from_secs(3_600);
+const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
 
 /// Share of the time that the log was seen to keep records, after which the
 /// state is appended again: two attempts may fail before it is too late.
@@ -77,7 +77,7 @@
 }
 
 /// The log came back from a copy, which may lack the last snapshot.
-pub(super) fn on_log_returned(schedule: &mut SnapshotSchedule) {
+pub(super) fn on_log_restored(schedule: &mut SnapshotSchedule) {
     schedule.last = None;
 }
 
@@ -86,14 +86,14 @@
         return;
     }
     board.configuration.snapshots.check_at = now.monotonic + CHECK_INTERVAL;
-    learn_retention(board, now);
+    update_retention(board, now);
     if is_due(board, now) {
         append(board, now, out);
     }
 }
 
 /// Learns how long the log keeps records from the youngest one seen to be gone.
-fn learn_retention(board: &mut Blackboard, now: Moment) {
+fn update_retention(board: &mut Blackboard, now: Moment) {
     let configuration = &mut board.configuration;
     let oldest_offset = configuration.reader.oldest_offset;
     let snapshot = configuration.snapshots.last.iter();
@@ -113,15 +113,15 @@
 
 fn is_due(board: &mut Blackboard, now: Moment) -> bool {
     let configuration = &mut board.configuration;
-    let is_able = configuration.ranks.is_follower()
+    let can_append = configuration.ranks.is_follower()
         && configuration.reader.is_caught_up
         && configuration.version().is_some();
     let schedule = &mut configuration.snapshots;
-    if !is_able {
+    if !can_append {
         schedule.urgent_since = None;
         return false;
     }
-    let rank = configuration.ranks.overall.min(STAGGER_LIMIT_COUNT) as u32;
+    let rank = configuration.ranks.overall_rank.min(STAGGER_LIMIT_COUNT) as u32;
     let ready_since = *schedule.ready_since.get_or_insert(now.monotonic);
     let is_urgent = !can_rebuild(schedule.last, configuration.reader.oldest_offset);
     schedule.urgent_since = is_urgent.then(|| schedule.urgent_since.unwrap_or(now.monotonic));
@@ -137,19 +137,19 @@
 
 impl SnapshotSchedule {
     fn interval(&self) -> Duration {
-        let learnt = self
+        let by_retention = self
             .retention
             .map(|retention| retention / RETENTION_DIVISOR);
-        learnt.map_or(LONGEST_INTERVAL, |learnt| learnt.min(LONGEST_INTERVAL))
+        by_retention.map_or(MAX_INTERVAL, |by_retention| by_retention.min(MAX_INTERVAL))
     }
 }
 
 /// Whether a node that knows nothing could rebuild the state from the log.
 fn can_rebuild(last: Option<SeenSnapshot>, oldest_offset: LogOffset) -> bool {
-    let is_whole = oldest_offset == 0;
+    let is_complete = oldest_offset == 0;
     let bridges =
         |last: SeenSnapshot| last.offset >= oldest_offset && last.through + 1 >= oldest_offset;
-    is_whole || last.is_some_and(bridges)
+    is_complete || last.is_some_and(bridges)
 }
 
 fn append(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
--- a/crates/kumquatquay-core/src/configuration/start_over.rs
+++ b/crates/kumquatquay-core/src/configuration/start_over.rs
@@ -2,7 +2,7 @@
 
 use kumquatquay_wire::{ConfigurationRecord, ConfigurationSnapshot, OperatorReply};
 
-use super::{configuration_table::AppendPurpose, log_reader::LogDoubt};
+use super::{configuration_table::AppendPurpose, log_reader::LogFault};
 use crate::{Blackboard, Note, Output, Severity};
 
 /// Appends what this node has as the state at the end of the stream.
@@ -13,7 +13,7 @@
 /// undone by it.
 pub(super) fn start_over(board: &mut Blackboard, out: &mut Vec<Output>) -> OperatorReply {
     let reader = &board.configuration.reader;
-    if !matches!(reader.doubt, Some(LogDoubt::HistoryLost { .. })) {
+    if !matches!(reader.fault, Some(LogFault::HistoryLost { .. })) {
         return OperatorReply::Refused {
             message: String::from(
                 "nothing was done: this node has not found the history of the configuration to \
--- a/crates/kumquatquay-core/src/configuration/status.rs
+++ b/crates/kumquatquay-core/src/configuration/status.rs
@@ -27,7 +27,7 @@
     let lagging = board.members.iter().filter(|member| {
         member.control != own
             && member.state != MemberState::Gone
-            && version_of(board, member) < wanted
+            && known_version(board, member) < wanted
     });
     let lagging: Vec<SocketAddr> = lagging.map(|member| member.control).collect();
     let asked = lagging
@@ -36,10 +36,14 @@
     for to in asked {
         peer_fetch::ask_version(board, to, out);
     }
-    told(board, now, wanted)
+    build_status(board, now, wanted)
 }
 
-fn told(board: &Blackboard, now: Moment, wanted: Option<ConfigurationVersion>) -> OperatorReply {
+fn build_status(
+    board: &Blackboard,
+    now: Moment,
+    wanted: Option<ConfigurationVersion>,
+) -> OperatorReply {
     let version = board.configuration.version();
     let mut status = ConfigurationStatus {
         wanted,
@@ -52,7 +56,7 @@
             continue;
         }
         status.members_count += 1;
-        if version_of(board, member) >= wanted {
+        if known_version(board, member) >= wanted {
             status.in_force_count += 1;
         } else if status.laggards.len() < ConfigurationStatus::LAGGARDS_LIMIT_COUNT {
             status.laggards.push(laggard(board, now, member));
@@ -61,21 +65,21 @@
     OperatorReply::Status(status)
 }
 
-fn version_of(board: &Blackboard, member: &MemberRecord) -> Option<ConfigurationVersion> {
+fn known_version(board: &Blackboard, member: &MemberRecord) -> Option<ConfigurationVersion> {
     if member.control == board.settings.control {
         return board.configuration.version();
     }
-    let heard = board.configuration.heard.get(&member.control);
+    let heard = board.configuration.peer_versions.get(&member.control);
     heard.map(|heard| heard.version)
 }
 
 fn laggard(board: &Blackboard, now: Moment, member: &MemberRecord) -> Laggard {
-    let heard = board.configuration.heard.get(&member.control);
+    let heard = board.configuration.peer_versions.get(&member.control);
     let ms_since = |at| now.monotonic.saturating_sub(at).as_millis() as u64;
     Laggard {
         control: member.control.to_string(),
         data_centre: member.data_centre.clone(),
-        version: version_of(board, member),
+        version: known_version(board, member),
         heard_ms_ago: heard.map(|heard| ms_since(heard.at)),
         behind_ms: ms_since(board.configuration.in_force_since),
         is_unreachable: member.is_suspect,
--- a/crates/kumquatquay-core/src/membership/controller.rs
+++ b/crates/kumquatquay-core/src/membership/controller.rs
@@ -239,7 +239,7 @@
         Rumour::Level(level) => overload::on_level_rumour(board, now, level),
         Rumour::Quarantine(record) => quarantine::on_rumour(board, now, record),
         Rumour::Configuration(version) => {
-            configuration::on_version_heard(board, now, from, version, out);
+            configuration::on_peer_version(board, now, from, version, out);
         }
     }
 }
--- a/crates/kumquatquay-core/src/membership/sender.rs
+++ b/crates/kumquatquay-core/src/membership/sender.rs
@@ -102,7 +102,7 @@
 /// Puts what the receiver must hear first: the version in force, doubts about
 /// itself, and this node's own change.
 fn lead(board: &Blackboard, now: Moment, to: SocketAddr, room: &mut Room) {
-    if let Some(version) = configuration::version_to_tell(board) {
+    if let Some(version) = configuration::version_to_gossip(board) {
         room.add(Rumour::Configuration(version));
     }
     let known = board.members.get(to);
--- a/crates/kumquatquay-core/src/membership/tellings.rs
+++ b/crates/kumquatquay-core/src/membership/tellings.rs
@@ -41,7 +41,7 @@
     /// then levels in random order, so that those that don't fit have their turn.
     pub(super) fn due(&mut self, board: &mut Blackboard, now: Moment) -> Vec<Rumour> {
         let mut rumours = Vec::new();
-        if let Some(version) = configuration::version_to_tell(board)
+        if let Some(version) = configuration::version_to_gossip(board)
             && self.is_version_due(version)
         {
             rumours.push(Rumour::Configuration(version));
--- a/crates/kumquatquay-core/src/node.rs
+++ b/crates/kumquatquay-core/src/node.rs
@@ -165,5 +165,5 @@
 fn is_awaited(board: &Blackboard, input: &LogInput) -> bool {
     operations::owns(board, input)
         || membership::owns(board, input)
-        || configuration::awaits(board, input)
+        || configuration::is_awaiting(board, input)
 }
