--- a/crates/kumquatquay-core/src/allowance_split.rs
+++ b/crates/kumquatquay-core/src/allowance_split.rs
@@ -1,6 +1,6 @@
-//! How much of a retry allowance goes with a call.
+//! How a retry allowance is split between a node and the callee.
 
-/// How much of what a node holds it lends with each call.
+/// How many of the retries that a node holds it lends with each attempt of a call.
 ///
 /// See `docs/design/overload.md` for the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,16 +9,16 @@
     All,
     /// Half of it, rounded up.
     Half,
-    /// All but one; the last one is lent too.
+    /// All but one, or the only one that is left.
     AllButOne,
     /// A quarter of it, rounded up.
     Quarter,
-    /// Nothing: only the entry retries.
+    /// None: only the entry retries.
     Nothing,
 }
 
 impl AllowanceSplit {
-    /// The number to lend out of a number held.
+    /// Number of retries to lend if a node holds `held_count`.
     pub fn lent_count(self, held_count: u16) -> u16 {
         match self {
             Self::All => held_count,
--- a/crates/kumquatquay-core/src/blackboard.rs
+++ b/crates/kumquatquay-core/src/blackboard.rs
@@ -1,4 +1,4 @@
-//! What a node knows, shared by its controllers.
+//! State of a node, shared by its controllers.
 
 use rand::{SeedableRng, rngs::StdRng};
 
@@ -14,34 +14,34 @@
     quarantine::QuarantineTable,
 };
 
-/// Everything a node knows, one table for each concern.
+/// Complete state of a node, one table for each concern.
 ///
 /// Each controller writes its own table and reads the others.
 #[derive(Debug)]
 pub struct Blackboard {
-    /// What the node was told at its start.
+    /// Settings of the node, fixed at its start.
     pub(crate) settings: NodeSettings,
     /// Source of the random choices.
     pub(crate) random: StdRng,
-    /// What the node did.
+    /// Counts of events, for metrics.
     pub(crate) counters: Counters,
     /// Calls that leave through this node.
     pub(crate) calls: CallTable,
     /// Work for the backend server of this host.
     pub(crate) gate: GateTable,
-    /// Ledgers, allowances, levels and routes.
+    /// Ledgers, retry allowances, admission levels and routes.
     pub(crate) overload: OverloadTable,
     /// Non-idempotent operations.
     pub(crate) operations: OperationTable,
-    /// Requests that crash what runs them.
+    /// Requests that are suspected of crashing backend servers.
     pub(crate) quarantine: QuarantineTable,
-    /// Who is there.
+    /// Members of the mesh, as this node knows them.
     pub(crate) members: MemberTable,
-    /// How this node finds out who is there.
+    /// State of the membership protocol.
     pub(crate) membership: Membership,
     /// Intents in force.
     pub(crate) configuration: ConfigurationTable,
-    /// What was refused lately.
+    /// Recent refusals.
     pub(crate) refusals: RefusalTable,
     last_id: u64,
 }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// An id that this life of the node has not used.
+    /// A new id, unique since the node's start.
     pub(crate) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
--- a/crates/kumquatquay-core/src/clock.rs
+++ b/crates/kumquatquay-core/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock that hosts of a node pass in.
+//! Time, as the host of a node passes it in.
 
 use std::time::{Duration, SystemTime};
 
-/// One reading of both clocks.
+/// One reading of the monotonic clock and of the time of day.
 ///
 /// # Examples
 ///
@@ -17,14 +17,15 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
-    /// Time since the host's start; never steps. Decisions use this one.
+    /// Time since the program that hosts the node started. It never steps, and all decisions
+    /// use it.
     pub monotonic: Duration,
-    /// Time of day; may step. Only for what outlives a process.
+    /// Time of day. It may step, and is used only for data that outlives the process.
     pub wall: SystemTime,
 }
 
 impl Moment {
-    /// The moment a while later on both clocks.
+    /// The moment that is later by `duration` on both clocks.
     #[must_use]
     pub fn plus(self, duration: Duration) -> Self {
         Self {
@@ -33,19 +34,19 @@
         }
     }
 
-    /// Monotonic time since an earlier moment; zero if that one is later.
+    /// Monotonic time since `earlier`; zero if that moment is later.
     pub fn since(self, earlier: Self) -> Duration {
         self.monotonic.saturating_sub(earlier.monotonic)
     }
 
-    /// The time of day in milliseconds since the Unix epoch.
+    /// The time of day in milliseconds since the Unix epoch; zero if it is before the epoch.
     pub fn unix_ms(self) -> u64 {
         let since_epoch = self.wall.duration_since(SystemTime::UNIX_EPOCH);
         since_epoch.map_or(0, |duration| duration.as_millis() as u64)
     }
 }
 
-/// Where a host takes its time from.
+/// Source of the time for the host of a node.
 pub trait Clock {
     /// Reads both clocks.
     fn now(&self) -> Moment;
--- a/crates/kumquatquay-core/src/counters.rs
+++ b/crates/kumquatquay-core/src/counters.rs
@@ -1,57 +1,57 @@
-//! Counts of what a node did, for metrics and the state dump.
+//! Event counters of a node, for metrics and the state dump.
 
 use std::collections::BTreeMap;
 
 use derive_more::Display;
 use serde::{Serialize, Serializer, ser::SerializeStruct};
 
-/// What is counted; the text is the metric's name.
+/// An event that is counted; its text is the name of the metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Counter {
-    /// Calls that arrived at the entry or egress.
+    /// Calls that arrived at the entry or egress listener.
     #[display("calls_arrived")]
     CallsArrived,
     /// Calls that ended with an answer.
     #[display("calls_answered")]
     CallsAnswered,
-    /// Calls that were refused here.
+    /// Calls that this node refused.
     #[display("calls_refused")]
     CallsRefused,
-    /// Attempts after the first of a call.
+    /// Attempts of a call after the first one.
     #[display("retries")]
     Retries,
     /// Work that arrived at the gate.
     #[display("work_arrived")]
     WorkArrived,
-    /// Headers of other nodes that were forged, cut short or malformed.
+    /// Headers of other nodes that were forged, truncated or malformed.
     #[display("contexts_refused")]
     ContextsRefused,
-    /// Control datagrams that were forged, cut short, oversized or malformed.
+    /// Control datagrams that were forged, truncated, oversized or malformed.
     #[display("datagrams_refused")]
     DatagramsRefused,
-    /// Bulk questions that were forged, cut short, oversized or late.
+    /// Bulk questions that were forged, truncated, oversized or too slow.
     #[display("bulk_questions_refused")]
     BulkQuestionsRefused,
-    /// Bodies that were too long, too slow or broke off.
+    /// Request bodies that were too long, too slow or truncated.
     #[display("bodies_refused")]
     BodiesRefused,
-    /// Connections closed because a listener held as many as it may.
+    /// Connections closed because a listener was at its connection limit.
     #[display("connections_refused")]
     ConnectionsRefused,
-    /// Calls refused at their entry, for a service that they would reach.
+    /// Calls refused at the entry because a service that they usually reach is overloaded.
     #[display("calls_refused_at_entry")]
     CallsRefusedAtEntry,
-    /// Calls whose caller went away.
+    /// Calls whose caller no longer waits for the answer.
     #[display("calls_abandoned")]
     CallsAbandoned,
-    /// Calls of the backend server that belong to no request under way.
+    /// Calls of the backend server that can't be attributed to a request under way.
     #[display("orphan_calls")]
     OrphanCalls,
-    /// Answers that came twice, or after their attempt was given up.
+    /// Answers that arrived a second time, or after their attempt was cancelled.
     #[display("answers_ignored")]
     AnswersIgnored,
-    /// Backend servers that were left out for looking bad.
+    /// Backend servers that outlier detection ejected from load balancing.
     #[display("backend_servers_ejected")]
     BackendServersEjected,
     /// Work that the gate refused.
@@ -60,82 +60,85 @@
     /// Operation ids issued.
     #[display("operations_issued")]
     OperationsIssued,
-    /// Operations handed over by this node as their home.
+    /// Operations that this node, as their home, sent to a backend server.
     #[display("operations_handed_over")]
     OperationsHandedOver,
-    /// Operations sent to their home.
+    /// Operations forwarded to their home, the node that decides whether they run.
     #[display("operations_forwarded")]
     OperationsForwarded,
-    /// Resends answered with a stored answer.
+    /// Resends of operations that were answered with a stored answer.
     #[display("operations_replayed")]
     OperationsReplayed,
     /// Appends to claim streams.
     #[display("claim_appends")]
     ClaimAppends,
-    /// Claims given up before anything was handed over.
+    /// Claims given up before the operation was sent to a backend server.
     #[display("claims_given_up")]
     ClaimsGivenUp,
     /// Deaths of the backend server of this host.
     #[display("backend_deaths")]
     BackendDeaths,
-    /// Work refused because it is suspected of crashing or quarantined.
+    /// Work refused because its fingerprint is quarantined, or is suspect and can't run now.
     #[display("quarantine_refusals")]
     QuarantineRefusals,
-    /// Work whose time ran out while it waited.
+    /// Work refused by the gate because its deadline had passed, or would before it ended.
     #[display("work_expired")]
     WorkExpired,
-    /// Work whose sender went away.
+    /// Work that its sender cancelled.
     #[display("work_cancelled")]
     WorkCancelled,
-    /// Changes of the configuration that came in force here.
+    /// Configuration changes that were put in force.
     #[display("configuration_changes_applied")]
     ConfigurationChangesApplied,
-    /// Changes read from the log that were not the first on their base.
+    /// Configuration changes read from the log that were rejected: their base was no longer
+    /// current, or they could not be applied.
     #[display("configuration_changes_lost")]
     ConfigurationChangesLost,
-    /// Changes read from the log that had won before.
+    /// Configuration changes read from the log that had been put in force before.
     #[display("configuration_repeats")]
     ConfigurationRepeats,
-    /// Reads of the configuration that the log did not answer.
+    /// Reads of the configuration log that were not answered.
     #[display("configuration_reads_failed")]
     ConfigurationReadsFailed,
-    /// Times that the log was found to be another or set back.
+    /// Times that the log was found to have gone backwards, to be another one, or to lack
+    /// records that this node needs.
     #[display("configuration_log_doubts")]
     ConfigurationLogDoubts,
-    /// Times that the log came back from an older copy.
+    /// Times that the log was restored from a backup.
     #[display("configuration_log_returns")]
     ConfigurationLogReturns,
-    /// Times that the log had forgotten what this node had not read.
+    /// Times that the log had dropped records that this node had not read yet.
     #[display("configuration_gaps")]
     ConfigurationGaps,
-    /// Questions to other nodes about the configuration.
+    /// Configuration questions sent to other nodes.
     #[display("configuration_peer_questions")]
     ConfigurationPeerQuestions,
-    /// Snapshots appended to the log.
+    /// Configuration snapshots appended to the log.
     #[display("configuration_snapshots_appended")]
     ConfigurationSnapshotsAppended,
-    /// Appends of changes whose answer was lost.
+    /// Appends of configuration changes whose answer was lost.
     #[display("configuration_appends_unsure")]
     ConfigurationAppendsUnsure,
-    /// Members that did not answer a probe, directly or through others.
+    /// Probes that a member answered neither directly nor through other members.
     #[display("probes_failed")]
     ProbesFailed,
-    /// Doubts about this node that it refuted.
+    /// Suspicions about this node that it refuted.
     #[display("suspicions_refuted")]
     SuspicionsRefuted,
-    /// Members that this node declared gone.
+    /// Members that this node declared gone after an unrefuted suspicion.
     #[display("members_declared_gone")]
     MembersDeclaredGone,
-    /// Times that many members went silent at once.
+    /// Times that many members went silent at once, so that this node stopped declaring
+    /// members gone for a while.
     #[display("mass_silences")]
     MassSilences,
-    /// Datagrams that came twice or too late to tell.
+    /// Datagrams that arrived a second time, or too late to check whether they had.
     #[display("datagrams_replayed")]
     DatagramsReplayed,
-    /// Datagrams of an earlier life of their sender.
+    /// Datagrams of an earlier incarnation of their sender.
     #[display("datagrams_old")]
     DatagramsOld,
-    /// Tables that this node asked another one for.
+    /// Member tables that this node requested from another one.
     #[display("tables_asked")]
     TablesAsked,
     /// Bulk questions and answers that could not be decoded.
@@ -143,32 +146,32 @@
     BulkMalformed,
 }
 
-/// The counts since the node's start.
+/// Values of all counters since the node's start.
 ///
-/// Several are counted for each call, so a count is found by its place.
+/// Each call increments several counters, so a counter is found by its index.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     counts: Vec<Option<(Counter, u64)>>,
 }
 
 impl Counters {
-    /// Counts one more.
+    /// Adds one to a counter.
     pub fn increment(&mut self, counter: Counter) {
-        let place = counter as usize;
-        if self.counts.len() <= place {
-            self.counts.resize(place + 1, None);
+        let index = counter as usize;
+        if self.counts.len() <= index {
+            self.counts.resize(index + 1, None);
         }
-        let (_, count) = self.counts[place].get_or_insert((counter, 0));
+        let (_, count) = self.counts[index].get_or_insert((counter, 0));
         *count += 1;
     }
 
-    /// The count of one counter.
+    /// Value of a counter.
     pub fn get(&self, counter: Counter) -> u64 {
         let count = self.counts.get(counter as usize).copied().flatten();
         count.map_or(0, |(_, count)| count)
     }
 
-    /// All counts that are not zero.
+    /// All counters that are not zero.
     pub fn iter(&self) -> impl Iterator<Item = (Counter, u64)> + '_ {
         self.counts.iter().copied().flatten()
     }
--- a/crates/kumquatquay-core/src/lib.rs
+++ b/crates/kumquatquay-core/src/lib.rs
@@ -1,22 +1,21 @@
-//! The decisions of a kumquatquay node, free of I/O, threads and clocks.
+//! Sans-I/O core of a kumquatquay node, without threads and clocks.
 //!
-//! A [`Node`] is fed [`Input`]s with the [`Moment`] at which they happened and
-//! answers each with [`Output`]s for its host to carry out. The same settings,
-//! seed, inputs and moments give the same outputs, so a test, a bench or a
-//! daemon can host it alike.
+//! A [`Node`] handles [`Input`]s, each with the [`Moment`] at which it happened, and returns
+//! [`Output`]s for its host to carry out. The same settings, seed, inputs and moments give the
+//! same outputs, so tests, benchmarks and the daemon all host it in the same way.
 //!
-//! Inside, the [`Blackboard`] holds what the node knows, in one table for each
-//! concern, and controllers are plain functions that read and write it:
+//! The [`Blackboard`] holds the state of the node, in one table for each concern. Controllers are
+//! plain functions that read and write it:
 //!
 //! - `call`: calls that leave through this node, from arrival to answer
 //! - `gate`: work for the backend server of this host
-//! - `overload`: ledgers, retry allowance, levels, routing
-//! - `operations`: non-idempotent operations, at most once
-//! - `quarantine`: requests that crash what runs them
-//! - `membership`: who is there, in this data centre and the others
+//! - `overload`: ledgers, retry allowances, admission levels and load balancing
+//! - `operations`: non-idempotent operations, which run at most once
+//! - `quarantine`: requests that crash backend servers
+//! - `membership`: members of the mesh, in this data centre and the others
 //! - `configuration`: intents in force, plans and their confirmation
 //! - `explain`: why requests were refused
-//! - [`routed`]: calls on configured routes; a node of its own kind
+//! - [`routed`]: calls on configured routes, for a separate kind of node
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatquay-core/src/node.rs
+++ b/crates/kumquatquay-core/src/node.rs
@@ -1,4 +1,4 @@
-//! The entrance to the decisions of a node.
+//! Entry point of the core: a node that handles inputs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
     configuration, gate, membership, operations, overload, quarantine,
 };
 
-/// One node's decisions.
+/// State machine of one node.
 ///
 /// # Examples
 ///
@@ -43,19 +43,19 @@
     /// How often the host sends [`Input::Tick`] otherwise.
     pub const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-    /// The longest answer that is kept for resends of an operation, in bytes.
+    /// Longest answer that is stored for resends of an operation.
     pub const STORED_ANSWER_LIMIT_BYTES: usize = 64 * 1024;
 
-    /// A node at the start of its life.
+    /// Creates a node that has handled no input yet.
     pub fn new(settings: NodeSettings) -> Self {
         Self {
             board: Blackboard::new(settings),
         }
     }
 
-    /// Takes in one thing that happened and says what to do.
+    /// Handles one input and returns what the host has to do.
     ///
-    /// Moments must not go back on the monotonic clock.
+    /// The monotonic time of the inputs must not decrease.
     pub fn handle(&mut self, now: Moment, input: Input) -> Vec<Output> {
         let board = &mut self.board;
         let mut outputs = Vec::new();
@@ -89,12 +89,12 @@
         outputs
     }
 
-    /// Version of the configuration that is in force here.
+    /// Version of the configuration in force at this node.
     pub fn configuration_version(&self) -> Option<ConfigurationVersion> {
         self.board.configuration.version()
     }
 
-    /// The class that the intents in force here give to a call.
+    /// Class that the intents in force at this node assign to a call.
     pub fn class_of(&self, caller: &str, service: &str, method: &str, path: &str) -> Class {
         let table = &self.board.configuration;
         table.classify(caller, service, method, path).class
@@ -102,9 +102,9 @@
 
     /// How long the host may wait before the next [`Input::Tick`].
     ///
-    /// Only work that waits needs short ticks, for its deadline; everything else
-    /// that ticks do has intervals of 100 ms and more. A host that always ticks
-    /// every [`Node::TICK_INTERVAL`] gets the same decisions for more processor time.
+    /// Only work in the queue of the gate needs short ticks, for its deadlines; everything else
+    /// that depends on ticks has intervals of 100 ms and more. A host that always ticks every
+    /// [`Node::TICK_INTERVAL`] gets the same decisions for more processor time.
     pub fn tick_interval(&self) -> Duration {
         if self.board.gate.queued_count() > 0 {
             Self::TICK_INTERVAL
@@ -113,39 +113,39 @@
         }
     }
 
-    /// What the node did since its start.
+    /// Event counters since the node's start.
     pub fn counters(&self) -> &Counters {
         &self.board.counters
     }
 
-    /// Counts something that the host saw and the node did not.
+    /// Increments the counter of an event that only the host sees.
     pub fn increment(&mut self, counter: Counter) {
         self.board.counters.increment(counter);
     }
 
-    /// What the node knows of one member, itself included.
+    /// Record of one member, which may be the node itself.
     pub fn member(&self, control: SocketAddr) -> Option<&MemberRecord> {
         self.board.members.get(control)
     }
 
-    /// What the node knows of all members, itself and those that are gone
-    /// included.
+    /// Records of all members, including the node itself and members that are gone.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.board.members.iter()
     }
 
-    /// When the state of any member last changed here; hosts that keep tables of
-    /// their own over the members build them anew when it does.
+    /// When the state of any member last changed at this node, on the monotonic clock.
+    ///
+    /// A host rebuilds the tables that it derives from the members when this changes.
     pub fn members_changed_at(&self) -> Duration {
         self.board.members.changed()
     }
 
-    /// Digest of the members that are not gone; nodes that agree have the same.
+    /// Digest of the members that are not gone; equal at nodes with the same view.
     pub fn members_digest(&self) -> TableDigest {
         self.board.members.digest()
     }
 
-    /// What the node knows, for people.
+    /// Dumps the state of the node for operators.
     pub fn state_dump(&self, now: Moment) -> StateDump {
         StateDump::of(&self.board, now)
     }
@@ -161,7 +161,7 @@
     configuration::on_tick(board, now, out);
 }
 
-/// Whether anybody waits for this answer of the log.
+/// Whether the input answers an append or a read that is still outstanding.
 fn is_awaited(board: &Blackboard, input: &LogInput) -> bool {
     operations::owns(board, input)
         || membership::owns(board, input)
--- a/crates/kumquatquay-core/src/node_settings.rs
+++ b/crates/kumquatquay-core/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! Settings of a node.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::Policy;
 
-/// Settings of one node, for its whole life.
+/// Settings of one node, fixed from its start.
 ///
 /// # Examples
 ///
@@ -25,28 +25,28 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// UDP and TCP address for control messages; identifies the node.
+    /// UDP and TCP address for control messages, which identifies the node.
     pub control: SocketAddr,
     /// Address at which other nodes reach this node's gate.
     pub peer: SocketAddr,
     /// Data centre of the host.
     pub data_centre: DataCentreName,
-    /// Life of the node; higher than those before at the same address.
+    /// Incarnation, which is higher after each start of a node at the same address.
     pub incarnation: Incarnation,
-    /// Control addresses of some other nodes.
+    /// Control addresses of other nodes, by which this one joins the mesh.
     pub seeds: Vec<SocketAddr>,
-    /// Key that the nodes share.
+    /// Key that all nodes of the mesh share.
     pub key: MeshKey,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub random_seed: u64,
     /// Controls that are switched on.
     pub policy: Policy,
-    /// Whether there is a log with intents and operations.
+    /// Whether the platform has a log with intents and operations.
     pub has_log: bool,
 }
 
 impl NodeSettings {
-    /// Settings for a first life, without seeds, with all controls.
+    /// Settings with incarnation 1, random seed 0, no seed nodes, all controls and a log.
     pub fn new(
         data_centre: impl Into<DataCentreName>,
         control: SocketAddr,
@@ -68,22 +68,22 @@
 
     // Membership
 
-    /// Life of the node; higher than those before at the same address.
+    /// Sets the incarnation, which must be higher after each start at the same address.
     #[must_use]
     pub fn incarnation(mut self, incarnation: Incarnation) -> Self {
         self.incarnation = incarnation;
         self
     }
 
-    /// Control addresses of some other nodes.
+    /// Sets the control addresses of other nodes, by which this one joins the mesh.
     #[must_use]
     pub fn seeds(mut self, seeds: impl IntoIterator<Item = SocketAddr>) -> Self {
         self.seeds = seeds.into_iter().collect();
         self
     }
 
-    /// For a node without a log: it never asks for intents, and doesn't warn that nobody
-    /// answers.
+    /// Runs the node without a log: it never requests intents, and doesn't warn that it gets
+    /// no answer.
     #[must_use]
     pub fn without_log(mut self) -> Self {
         self.has_log = false;
@@ -92,14 +92,14 @@
 
     // Decisions
 
-    /// Seed of the random choices.
+    /// Sets the seed of the random number generator.
     #[must_use]
     pub fn random_seed(mut self, random_seed: u64) -> Self {
         self.random_seed = random_seed;
         self
     }
 
-    /// Controls that are switched on.
+    /// Sets which controls are switched on.
     #[must_use]
     pub fn policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
--- a/crates/kumquatquay-core/src/policy.rs
+++ b/crates/kumquatquay-core/src/policy.rs
@@ -1,16 +1,16 @@
-//! Which controls of a node are switched on.
+//! Controls of a node that can be switched off.
 
 use crate::{AllowanceSplit, OperationPolicy};
 
-/// Retries that the entry grants to one whole request.
+/// Retries that the entry grants to a root request.
 const DEFAULT_ALLOWANCE_COUNT: u16 = 3;
 
-/// Tries that a node without a retry allowance makes for each call.
+/// Attempts that a node makes for each call if there is no retry allowance.
 const UNCONTROLLED_ATTEMPTS_COUNT: u16 = 3;
 
-/// Controls of a node, for experiments that run arms side by side.
+/// Controls of a node, for experiments that compare nodes with and without them.
 ///
-/// A node in production runs with [`Policy::all`], the default.
+/// In production, nodes run with [`Policy::all`], the default.
 ///
 /// # Examples
 ///
@@ -22,26 +22,26 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Whether the gate limits what its backend server runs and queues the
-    /// rest by importance; otherwise all work is handed over at once.
+    /// Whether the gate limits the concurrency of its backend server and queues other work by
+    /// importance; otherwise all work is sent to the backend server at once.
     pub has_gate: bool,
-    /// Whether levels are set, told and obeyed.
+    /// Whether admission levels are set, sent to other nodes and enforced.
     pub has_levels: bool,
-    /// Whether retries are bounded by the allowance of the whole request;
-    /// otherwise each layer tries up to [`Policy::attempts_count`] times.
+    /// Whether the retry allowance of the root request bounds all retries; otherwise each node
+    /// makes up to [`Policy::attempts_count`] attempts of each call.
     pub has_retry_allowance: bool,
-    /// Retries granted to one whole request at its entry.
+    /// Retries that the entry grants to a root request.
     pub allowance_count: u16,
-    /// How much of the retries goes with each call.
+    /// How many of the retries are lent with each attempt of a call.
     pub allowance_split: AllowanceSplit,
-    /// Tries of one call where there is no retry allowance.
+    /// Most attempts of a call if there is no retry allowance.
     pub attempts_count: u16,
-    /// How strictly operations are decided.
+    /// How strictly non-idempotent operations are kept from running twice.
     pub operations: OperationPolicy,
 }
 
 impl Policy {
-    /// No control: no limit, no levels, each layer tries three times.
+    /// No control: no gate, no levels, and three attempts of each call at each node.
     pub const fn none() -> Self {
         Self {
             has_gate: false,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The gate alone.
+    /// Only the gate.
     pub const fn gate() -> Self {
         Self {
             has_gate: true,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The gate and levels.
+    /// The gate and admission levels.
     pub const fn gate_levels() -> Self {
         Self {
             has_levels: true,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Every control.
+    /// All controls.
     pub const fn all() -> Self {
         Self {
             has_retry_allowance: true,
--- a/crates/kumquatquay-core/src/state_dump.rs
+++ b/crates/kumquatquay-core/src/state_dump.rs
@@ -1,4 +1,4 @@
-//! What a node knows, for people and their tools.
+//! State of a node, for operators and their tools.
 
 use kumquatquay_wire::{DataCentreName, MemberRecord, MemberState, QuarantineRecord};
 use serde::Serialize;
@@ -8,78 +8,78 @@
     quarantine,
 };
 
-/// A dump of one node's state, written as JSON.
+/// State of one node, serialised as JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct StateDump {
     /// Control address, which identifies the node.
     pub control: String,
     /// Data centre of the host.
     pub data_centre: String,
-    /// Life of the node.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// Time since the node's start, in milliseconds.
+    /// Time since the program that hosts the node started.
     pub uptime_ms: u64,
     /// Calls under way.
     pub calls_count: usize,
-    /// Work that the backend server runs.
+    /// Work that the backend server is running.
     pub running_count: usize,
-    /// Work that waits at the gate.
+    /// Work in the queue of the gate.
     pub queued_count: usize,
-    /// Work that the gate lets run at the same time.
+    /// Concurrency limit of the gate.
     pub gate_limit_count: usize,
-    /// The least importance that this host's gate asks for.
+    /// Admission level of the gate: the lowest importance that it admits.
     pub gate_level: String,
-    /// Requests of which a part runs here or that entered here.
+    /// Ledgers: requests that entered at this node or of which a part runs here.
     pub ledgers_count: usize,
-    /// Levels of services, as this node learnt them.
+    /// Admission levels of services, as observed by this node.
     pub levels: Vec<LevelDump>,
-    /// Kinds of call and the services that they usually reach.
+    /// Kinds of call and the services that they usually reach, up to a limit.
     pub routes: Vec<RouteDump>,
-    /// How this node sees the mesh.
+    /// State of the membership.
     pub membership: MembershipDump,
-    /// Nodes that this one knows of.
+    /// All known members, including this node and members that are gone.
     pub members: Vec<MemberDump>,
     /// Non-idempotent operations.
     pub operations: OperationDump,
-    /// Requests that are suspected of crashing backend servers or refused.
+    /// Requests that are quarantined or suspected of crashing backend servers.
     pub quarantine: Vec<QuarantineRecord>,
     /// Intents in force.
     pub configuration: ConfigurationDump,
-    /// What the node did.
+    /// Event counters since the node's start.
     pub counters: Counters,
 }
 
-/// How a node sees the mesh, in a [`StateDump`].
+/// State of the membership at a node, in a [`StateDump`].
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipDump {
-    /// Whether the node has had a whole table from another one, or is the first.
+    /// Whether the node has received a complete member table, or is the first node.
     pub is_joined: bool,
-    /// Whether the host takes no new work.
+    /// Whether the host accepts no new work because it is drained or shuts down.
     pub is_leaving: bool,
-    /// Whether the view is held because many members went silent at once.
+    /// Whether no member is declared gone at present, because many went silent at once.
     pub is_holding: bool,
     /// Members that are not gone.
     pub live_count: usize,
-    /// Members that are gone and still remembered.
+    /// Members that are gone and not forgotten yet.
     pub gone_count: usize,
-    /// Members of the own data centre that do not answer.
+    /// Members of this node's data centre that are suspected because they do not answer.
     pub suspects_count: usize,
-    /// Members whose news is still to be spread.
+    /// Members with changes that this node still has to gossip.
     pub pending_news_count: usize,
-    /// Other data centres that the node tells of its own.
+    /// Other data centres to which this node sends the changes of its own.
     pub carries_to: Vec<String>,
-    /// What is known of each data centre.
+    /// Members of each data centre.
     pub data_centres: Vec<DataCentreDump>,
 }
 
 /// One data centre in a [`MembershipDump`].
 #[derive(Clone, Debug, Serialize)]
 pub struct DataCentreDump {
-    /// Its name.
+    /// Name of the data centre.
     pub data_centre: String,
     /// Members that are not gone.
     pub live_count: usize,
-    /// Digest of these members, in hexadecimal; nodes that agree have the same.
+    /// Digest of these members, in hexadecimal; equal at nodes with the same view.
     pub digest: String,
 }
 
@@ -94,29 +94,29 @@
     pub service: Option<String>,
     /// State of its backend server.
     pub state: MemberState,
-    /// Whether a prober doubts that it is alive.
+    /// Whether it is suspected of having failed because it did not answer a probe.
     pub is_suspect: bool,
-    /// Life of the node.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// Number of the last change within that life.
+    /// Number of the last change within the incarnation.
     pub revision: u32,
-    /// Since when it takes calls, on this node's clock, if it does; 0 if it did
-    /// so before this node knew it. Slow start counts from here.
+    /// Since when it accepts calls, on this node's monotonic clock; none if it accepts none,
+    /// 0 if it accepted calls before this node knew it. Slow start begins at this time.
     pub takes_calls_since_ms: Option<u64>,
 }
 
-/// Level of one service in one data centre, in a [`StateDump`].
+/// Admission level of one service in one data centre, in a [`StateDump`].
 #[derive(Clone, Debug, Serialize)]
 pub struct LevelDump {
     /// The service.
     pub service: String,
-    /// Where its backend servers are.
+    /// Data centre of its backend servers.
     pub data_centre: String,
-    /// Requests below it are refused; written as class and cohort.
+    /// Lowest importance that is admitted, written as class and cohort.
     pub least_admitted: String,
-    /// Time since somebody confirmed it, in milliseconds.
+    /// Time since the level was last observed in an answer or in gossip.
     pub age_ms: u64,
-    /// Backend servers of the service that get no calls from this node.
+    /// Backend servers of the service that are ejected from this node's load balancing.
     pub ejected: Vec<String>,
 }
 
@@ -129,8 +129,8 @@
     pub services: Vec<String>,
 }
 
-/// Routes that a dump shows.
-const ROUTES_SHOWN_COUNT: usize = 256;
+/// Most routes in a dump.
+const ROUTES_LIMIT_COUNT: usize = 256;
 
 impl LevelDump {
     fn all(board: &Blackboard, now: Moment) -> Vec<Self> {
@@ -151,7 +151,7 @@
 }
 
 impl RouteDump {
-    fn some(board: &Blackboard) -> Vec<Self> {
+    fn up_to_limit(board: &Blackboard) -> Vec<Self> {
         let name = |id| board.overload.services.get(id).name.clone();
         let routes = board.overload.routes.values();
         let mut dumps: Vec<_> = routes
@@ -161,7 +161,7 @@
             })
             .collect();
         dumps.sort();
-        dumps.truncate(ROUTES_SHOWN_COUNT);
+        dumps.truncate(ROUTES_LIMIT_COUNT);
         dumps
     }
 }
@@ -180,7 +180,7 @@
             gate_level: board.gate.level_controller.level().to_string(),
             ledgers_count: board.overload.ledgers.len(),
             levels: LevelDump::all(board, now),
-            routes: RouteDump::some(board),
+            routes: RouteDump::up_to_limit(board),
             membership: MembershipDump::of(board),
             members: MemberDump::all(board),
             operations: OperationDump::of(board, now),
