--- a/crates/kumquatquay-core/src/overload/endpoint.rs
+++ b/crates/kumquatquay-core/src/overload/endpoint.rs
@@ -50,7 +50,7 @@
     leaving_until: Duration,
     is_reported_ill: bool,
     ejections_count: u32,
-    /// Begin of slow start, on the monotonic clock; zero for no slow start.
+    /// Beginning of slow start, on the monotonic clock; zero for no slow start.
     slow_start_from: Duration,
 }
 
--- a/crates/kumquatquay-core/src/overload/retry_after.rs
+++ b/crates/kumquatquay-core/src/overload/retry_after.rs
@@ -19,8 +19,8 @@
 
 /// Returns a random wait after which a refused request should be sent again.
 ///
-/// Its mean increases with the distance of the request from the level. It is randomised by ±50
-/// %, so that refused callers don't return all at once.
+/// Its mean increases with the distance of the request from the level. It is randomised by up
+/// to 50 % in both directions, so that refused callers don't return all at once.
 pub(crate) fn retry_after(
     random: &mut impl Rng,
     level: Importance,
--- a/crates/kumquatquay-core/src/overload/retry_allowance.rs
+++ b/crates/kumquatquay-core/src/overload/retry_allowance.rs
@@ -4,10 +4,10 @@
 
 /// The part of the retry allowance of a root request that one node holds.
 ///
-/// The entry grants a number of retries for the root request. A node spends one for each retry,
-/// lends a part with each attempt and gets back what the callee reports as unspent. Retries are
-/// never added, so that all nodes together spend no more than were granted, however deep or
-/// wide the call graph is.
+/// The entry grants a number of retries for the root request. A node spends one for each
+/// attempt beyond those of a run without retries, lends a part with each attempt and gets back
+/// what the callee reports as unspent. Retries are never added, so that all nodes together
+/// spend no more than were granted, however deep or wide the call graph is.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RetryAllowance {
     remaining_count: u16,
--- a/crates/kumquatquay-core/src/overload/service_table.rs
+++ b/crates/kumquatquay-core/src/overload/service_table.rs
@@ -30,7 +30,8 @@
     /// Endpoints that are outliers by the results of this node's calls, without the ejected
     /// ones.
     pub(crate) outliers: Vec<SocketAddr>,
-    /// Ejected endpoints, which get no calls, with the end of their ejection.
+    /// Ejected endpoints, which are picked only if no other is eligible, with the end of their
+    /// ejection.
     pub(crate) ejected: Vec<(SocketAddr, Duration)>,
 }
 
