--- a/crates/kumquatquay-core/src/configuration/configuration_state.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_state.rs
@@ -1,4 +1,4 @@
-//! What follows from the configuration stream.
+//! State machine that applies the records of the configuration stream.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,21 +7,23 @@
     Intent, IntentChange, IntentEntry, LogOffset, RecordDigest, ServiceName,
 };
 
-/// Changes that the state remembers: for repeats, reverts and nodes that lag.
+/// Accepted changes in the history, which serves to detect duplicates, to revert changes and to
+/// bring nodes up to date that lag behind.
 ///
-/// At 7,800 changes a day these are the last 12 minutes; a node that lags more
-/// takes the whole state.
+/// At 7,800 changes a day these are the changes of the last 12 minutes. A node that lags behind
+/// further fetches a full snapshot.
 const HISTORY_LIMIT_COUNT: usize = 64;
 
-/// Services that ever had an intent. Removed ones make room first; where there
-/// are none, a change that would go beyond loses.
+/// Limit of the entries of services that have or had an intent.
+///
+/// Entries without an intent are evicted first. If there are none, a change that would exceed
+/// the limit is rejected.
 const ENTRIES_LIMIT_COUNT: usize = 1_024;
 
-/// What follows from the records of the configuration stream up to one offset.
+/// Configuration that results from the records of the stream up to one offset.
 ///
-/// It is a function of these records alone: nodes that have taken in the same
-/// stream up to the same offset hold equal states, whether they read it all or
-/// began with a snapshot.
+/// It is a function of these records alone: nodes that have applied the same stream up to the
+/// same offset have equal states, whether they read all of it or started from a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConfigurationState {
     through: Option<LogOffset>,
@@ -29,65 +31,66 @@
     version: Option<ConfigurationVersion>,
     entries: BTreeMap<ServiceName, IntentEntry>,
     history: VecDeque<AcceptedChange>,
-    /// The history holds all changes behind this offset; all if `None`. After an
-    /// operator started over, an empty history does not mean that nothing
-    /// happened: a node that took it so would think that it had missed nothing.
+    /// The history has all accepted changes after this offset; all changes ever if `None`. After
+    /// an operator has started the configuration over, the history is incomplete. Without this
+    /// offset another node would conclude from it that it had missed no change.
     history_after: Option<LogOffset>,
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeOutcome {
-    /// Its base was current.
+    /// The change is applied: its base was the current version.
     Accepted,
-    /// It had won before, at this version.
+    /// The change was accepted before, at this version.
     Duplicate(ConfigurationVersion),
-    /// Its base was not current, or it can't be applied.
+    /// The change has no effect: its base was not current, it is malformed, or there is no room for
+    /// its entries.
     Rejected,
 }
 
 impl ConfigurationState {
-    /// The last record taken in.
+    /// Offset of the last record applied.
     pub(crate) fn through(&self) -> Option<LogOffset> {
         self.through
     }
 
-    /// Digest of that record.
+    /// Digest of the last record applied.
     pub(crate) fn digest(&self) -> RecordDigest {
         self.digest
     }
 
-    /// Offset of the last change that won.
+    /// Offset of the last accepted change.
     pub(crate) fn version(&self) -> Option<ConfigurationVersion> {
         self.version
     }
 
-    /// The first record not taken in.
+    /// Offset of the first record that is not applied yet.
     pub(crate) fn next_offset(&self) -> LogOffset {
         self.through.map_or(0, |through| through + 1)
     }
 
-    /// The entry of one service.
+    /// The entry of a service.
     pub(crate) fn entry(&self, service: &str) -> Option<&IntentEntry> {
         self.entries.get(service)
     }
 
-    /// The intent of one service.
+    /// The intent of a service.
     pub(crate) fn intent(&self, service: &str) -> Option<&Intent> {
         self.entry(service)?.intent.as_ref()
     }
 
-    /// All entries, also of services whose intent was removed.
+    /// All entries, including those of services whose intent was removed.
     pub(crate) fn entries(&self) -> impl Iterator<Item = &IntentEntry> {
         self.entries.values()
     }
 
-    /// The last changes that won, oldest first.
+    /// The latest accepted changes, oldest first.
     pub(crate) fn history(&self) -> impl DoubleEndedIterator<Item = &AcceptedChange> {
         self.history.iter()
     }
 
-    /// The version at which a change won, while it is remembered.
+    /// The version at which a change was accepted, if the history or an entry still has it.
     pub(crate) fn accepted_version(&self, id: ChangeId) -> Option<ConfigurationVersion> {
         let mut changes = self.history.iter();
         let accepted = changes.find(|accepted| accepted.change.id == id);
@@ -98,7 +101,7 @@
         })
     }
 
-    /// The services whose version is not the one that the change was made for.
+    /// The intents of a change whose base differs from the current version of their service.
     pub(crate) fn conflicts<'a>(
         &'a self,
         change: &'a ConfigurationChange,
@@ -109,14 +112,16 @@
         })
     }
 
-    /// Takes in a record that changes nothing: unreadable, or a snapshot of
-    /// what is known already.
+    /// Advances the offset and the digest without a change of the configuration.
+    ///
+    /// A record that is unreadable or holds a snapshot needs no more than this; for a change it is
+    /// one step.
     pub(crate) fn advance_to(&mut self, offset: LogOffset, digest: RecordDigest) {
         self.through = Some(offset);
         self.digest = digest;
     }
 
-    /// Takes in a change.
+    /// Applies a change from the stream if it is valid.
     pub(crate) fn apply(
         &mut self,
         offset: LogOffset,
@@ -138,7 +143,10 @@
         ChangeOutcome::Accepted
     }
 
-    /// Takes in a change that another node saw win. Returns whether it fits.
+    /// Applies a change that another node has accepted.
+    ///
+    /// Returns whether it was applied: it must be later than this state, its base must be
+    /// current, and there must be room for its entries.
     pub(crate) fn accept_from_peer(&mut self, accepted: AcceptedChange) -> bool {
         if self
             .version
@@ -175,10 +183,10 @@
         }
     }
 
-    /// Forgets removed services, the oldest first, until the change fits.
+    /// Evicts entries of services without an intent, the oldest first, until the change fits.
     ///
-    /// A change to a forgotten service with an old base can't win: its base
-    /// names a version, and the service has none any more.
+    /// Returns whether it fits. A later change with an old base to an evicted service is still
+    /// rejected, because its base is a version and the service no longer has one.
     fn evict_removed(&mut self, change: &ConfigurationChange) -> bool {
         let new = change
             .intents
@@ -202,7 +210,7 @@
         true
     }
 
-    /// The state as a snapshot; `None` before the first record.
+    /// A snapshot of the state; `None` before the first record.
     pub(crate) fn to_snapshot(&self) -> Option<ConfigurationSnapshot> {
         Some(ConfigurationSnapshot {
             through: self.through?,
@@ -214,7 +222,7 @@
         })
     }
 
-    /// The state that a snapshot holds.
+    /// Restores the state from a snapshot.
     pub(crate) fn from_snapshot(snapshot: ConfigurationSnapshot) -> Self {
         let entries = snapshot.entries.into_iter();
         Self {
@@ -229,8 +237,8 @@
         }
     }
 
-    /// The changes that won behind an offset, oldest first; `None` if some of
-    /// them are not remembered any more.
+    /// The changes accepted after an offset, oldest first; `None` if the history no longer has all
+    /// of them.
     pub(crate) fn changes_after(&self, offset: LogOffset) -> Option<Vec<AcceptedChange>> {
         if self.history_after.is_some_and(|after| offset < after) {
             return None;
@@ -254,7 +262,9 @@
     }
 }
 
-/// A change that names a service twice would win against its own base.
+/// Whether the change names at least one service and none of them twice.
+///
+/// The second intent of a service would replace the first one although its base is older.
 fn names_distinct_services(change: &ConfigurationChange) -> bool {
     let mut names: Vec<&str> = change
         .intents
--- a/crates/kumquatquay-core/src/configuration/confirmation.rs
+++ b/crates/kumquatquay-core/src/configuration/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmations of plans, until it is certain what became of them.
+//! Confirmations of plans, from the append to the outcome.
 
 use std::time::Duration;
 
@@ -10,38 +10,41 @@
 use super::{configuration_table::AppendPurpose, differences::differences, log_reading};
 use crate::{AppendId, Blackboard, Counter, Moment, OperatorOutput, OperatorRequestId, Output};
 
-/// How long an operator waits for certainty.
+/// Time after which a confirmation ends as undecided.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause before a change is appended again after a lost answer.
+/// Pause before a change is appended again whose append may or may not have taken effect.
 const APPEND_PAUSE: Duration = Duration::from_millis(500);
 
-/// Confirmations under way at once; more are refused.
+/// Limit of concurrent confirmations; further ones are refused.
 const CONFIRMATIONS_LIMIT_COUNT: usize = 64;
 
 /// A confirmation under way.
 ///
-/// It ends when the change is read back and won, when it can't win any more,
-/// or when time runs out. An answer to the append is not enough: another
-/// change may stand before this one.
+/// It ends when the change has been read back from the log and accepted, when it can no longer be
+/// accepted, or at its timeout. A successful append is not enough, because a conflicting change
+/// may precede this one in the log.
 #[derive(Debug)]
 pub(crate) struct Confirmation {
     change: ConfigurationChange,
     requests: Vec<OperatorRequestId>,
-    /// What had been taken in at the start; the change had not won by then.
+    /// Last record applied at the start. The change had not been accepted by then.
     started_through: Option<LogOffset>,
     expires_at: Duration,
     /// The append under way.
     append: Option<AppendId>,
-    /// When to append again.
+    /// When to append the change again.
     append_at: Option<Duration>,
-    /// Whether an append may have taken effect.
+    /// Whether the change may be in the log.
     may_be_appended: bool,
-    /// Where it certainly is.
+    /// Offset at which the change is certainly in the log.
     appended_at: Option<LogOffset>,
 }
 
-/// An operator confirms a change. The answer may come later.
+/// Starts the confirmation of a change by an operator.
+///
+/// The reply may be sent later. A request for a change that is being confirmed already joins that
+/// confirmation.
 pub(super) fn start(
     board: &mut Blackboard,
     now: Moment,
@@ -118,7 +121,7 @@
     });
 }
 
-/// The log took the record.
+/// Handles the success of an append.
 pub(super) fn on_appended(
     board: &mut Blackboard,
     id: ChangeId,
@@ -134,7 +137,7 @@
     finish_decided(board, out);
 }
 
-/// The log certainly did not take the record.
+/// Handles an append that certainly had no effect.
 pub(super) fn on_append_refused(
     board: &mut Blackboard,
     now: Moment,
@@ -149,8 +152,8 @@
         confirmation.append_at = Some(now.monotonic + APPEND_PAUSE);
         return;
     }
-    // The log speaks for this append alone: the same plan may have been confirmed
-    // at a node that crashed, and its record may be in the log.
+    // The refusal covers this append only. The same plan may have been confirmed at a node that
+    // crashed afterwards, and the record of that confirmation may be in the log.
     let message = "the log does not take records now, and it certainly did not take this one, so \
                    this confirmation changed nothing anywhere; what was in force stays in force \
                    (unless the same plan was confirmed before and that answer was lost); confirm \
@@ -158,10 +161,10 @@
     finish(board, id, &refused(message), out);
 }
 
-/// The answer was lost, so the record may be in the log or may get there yet.
+/// Handles an append without an answer: the record may be in the log or may still arrive there.
 ///
-/// The record is appended again under the same id. Both may be in the log: the
-/// first wins, and the second is known by its id to be a repeat.
+/// The change is appended again with the same id. If both records get into the log, the first one
+/// is accepted and the second one is a duplicate by its id.
 pub(super) fn on_append_unsure(board: &mut Blackboard, now: Moment, id: ChangeId) {
     board
         .counters
@@ -190,14 +193,15 @@
 
 fn finish_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let confirmations = board.configuration.confirmations.iter();
-    let expired = confirmations.filter(|(_, expired)| now.monotonic >= expired.expires_at);
+    let expired =
+        confirmations.filter(|(_, confirmation)| now.monotonic >= confirmation.expires_at);
     let expired: Vec<ChangeId> = expired.map(|(id, _)| *id).collect();
     for id in expired {
         finish(board, id, &undecided(), out);
     }
 }
 
-/// Ends the confirmations whose end is known from what has been taken in.
+/// Ends the confirmations whose outcome follows from the records applied so far.
 pub(super) fn finish_decided(board: &mut Blackboard, out: &mut Vec<Output>) {
     let ids: Vec<ChangeId> = board.configuration.confirmations.keys().copied().collect();
     for id in ids {
@@ -224,10 +228,10 @@
     is_read.then(undecided)
 }
 
-/// Whether all changes that won since an offset are remembered.
+/// Whether the history has all changes that were accepted since an offset.
 ///
-/// If they are not, this change itself may have won and been forgotten, and
-/// "lost" would be wrong.
+/// If it lacks some, the change itself may be among these and its conflict with the current
+/// version does not show that it was rejected.
 fn has_history_since(board: &Blackboard, through: Option<LogOffset>) -> bool {
     let changes = board
         .configuration
@@ -253,7 +257,9 @@
     let message = if is_repeat {
         format!("this plan had been accepted already, as version {version}; nothing more was done")
     } else {
-        format!("accepted as version {version}; it is in force at this node and spreads")
+        format!(
+            "accepted as version {version}; it is in force at this node and is being distributed"
+        )
     };
     OperatorReply::Accepted {
         version,
@@ -278,7 +284,7 @@
     }
 }
 
-/// Whose change is in force instead, and what differs.
+/// The reply for a conflict: who made the change that is in force instead, and what differs.
 fn conflict(board: &Blackboard, change: &ConfigurationChange) -> OperatorReply {
     let state = &board.configuration.state;
     let conflicts: Vec<Conflict> = state
--- a/crates/kumquatquay-core/src/configuration/controller.rs
+++ b/crates/kumquatquay-core/src/configuration/controller.rs
@@ -1,4 +1,4 @@
-//! Intents in force: what is decided.
+//! Dispatch of ticks, log answers and operator commands to the configuration modules.
 
 use kumquatquay_wire::{
     ConfigurationChange, OperatorCommand, OperatorReply, SealedPlan, ServiceName,
@@ -25,14 +25,16 @@
     board.configuration.demand.on_tick(now);
 }
 
-/// Whether the log answers the read that is under way.
+/// Whether a log input answers the outstanding read.
 pub(crate) fn is_awaiting(board: &Blackboard, input: &LogInput) -> bool {
     let outstanding = board.configuration.reader.outstanding;
     matches!(input, LogInput::Read { read, .. }
         if outstanding.is_some_and(|outstanding| outstanding.id == *read))
 }
 
-/// An exchange with the log ended; those of other streams are not ours.
+/// Handles the end of a read or an append.
+///
+/// Those of other streams are ignored: their ids are unknown here.
 pub(crate) fn on_log(board: &mut Blackboard, now: Moment, input: LogInput, out: &mut Vec<Output>) {
     match input {
         LogInput::Appended { append, offset } => {
@@ -141,7 +143,7 @@
 ) {
     match find_plan(board, plan) {
         Ok(change) if change.intents.is_empty() => {
-            let message = "the plan changes nothing; nothing was done";
+            let message = "the plan has no changes; nothing was done";
             refuse(out, request, message);
         }
         Ok(change) => {
--- a/crates/kumquatquay-core/src/configuration/in_force.rs
+++ b/crates/kumquatquay-core/src/configuration/in_force.rs
@@ -1,4 +1,4 @@
-//! How changes come in force at this node.
+//! Applies configuration changes from the log and from other nodes at this node.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use super::configuration_state::{ChangeOutcome, ConfigurationState};
 use crate::{Blackboard, Counter, LogRecord, Moment, Note, Output, Severity};
 
-/// Takes in a change from the log.
+/// Applies a change from the log.
 pub(super) fn apply_change(
     board: &mut Blackboard,
     now: Moment,
@@ -29,7 +29,9 @@
     }
 }
 
-/// Takes in changes that another node saw win. Returns whether all fitted.
+/// Applies changes that another node has accepted, up to the first one that can't be applied.
+///
+/// Returns whether all were applied.
 pub(super) fn apply_peer_changes(
     board: &mut Blackboard,
     now: Moment,
@@ -46,7 +48,7 @@
     true
 }
 
-/// Takes in a whole state, if it is later than this node's. Returns whether it was.
+/// Replaces the state by a snapshot if that is later. Returns whether it was replaced.
 pub(super) fn adopt_snapshot(
     board: &mut Blackboard,
     now: Moment,
@@ -58,8 +60,8 @@
         return false;
     }
     if snapshot.version < configuration.version() {
-        // Both follow from one stream, so the later one can't have the lower
-        // version: one of them is not of this stream.
+        // The version never decreases within a stream, so one of the two states is not of this
+        // stream.
         let detail = contradiction(snapshot.version, configuration.version());
         out.push(Output::Note(Note::new(
             Severity::Error,
@@ -82,8 +84,8 @@
     known: Option<ConfigurationVersion>,
 ) -> String {
     format!(
-        "a snapshot that reaches further names version {offered:?}, lower than {known:?} in force \
-         here; it was not taken in"
+        "a later snapshot has version {offered:?}, which is lower than version {known:?} in force \
+         here; it was discarded"
     )
 }
 
--- a/crates/kumquatquay-core/src/configuration/log_reader.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reader.rs
@@ -1,4 +1,4 @@
-//! Reads of the configuration stream: what is known of them.
+//! State of the reads of the configuration stream.
 
 use std::time::Duration;
 
@@ -7,66 +7,68 @@
 
 use crate::{ReadId, routed::EraTracker};
 
-/// Where the reading of the stream stands.
+/// Progress and health of the reads of the configuration stream.
 #[derive(Debug, Default)]
 pub(crate) struct LogReader {
-    /// The read under way.
+    /// The read under way; there is at most one.
     pub(super) outstanding: Option<OutstandingRead>,
-    /// How long the next read is waited for beyond its hold.
+    /// Timeout of the next read, from the end of its long poll.
     pub(super) read_timeout: Duration,
-    /// No read starts before, on the monotonic clock.
+    /// Earliest start of the next read, on the monotonic clock.
     pub(super) next_read_at: Duration,
-    /// Reads in a row that failed.
+    /// Consecutive failed reads.
     pub(super) failures_count: u32,
-    /// When the first of them failed.
+    /// When the first of these reads failed.
     pub(super) failing_since: Option<Duration>,
-    /// Set while a snapshot is looked for.
+    /// Offset of the next read while the stream is scanned for a snapshot.
     pub(super) scan_from: Option<LogOffset>,
-    /// The last record that was looked at for a snapshot.
+    /// The last record of the scan for a snapshot.
     pub(super) last_scanned: Option<(LogOffset, RecordDigest)>,
-    /// Whether the next read must check that the stream still holds the last
-    /// record taken in. A log that was set back while it did not answer may
-    /// hold other records at the offsets that this node has read.
+    /// Whether the next read must verify that the stream still holds the last record applied. A
+    /// log that was restored while it did not answer may hold other records at the offsets that
+    /// this node has read.
     pub(super) must_verify: bool,
-    /// Eras of the log.
+    /// Era of the log, which changes when the log is restored from a backup.
     pub(super) eras: EraTracker,
-    /// Whether all that the log holds is taken in.
+    /// Whether the last read applied all records of the stream; `false` after a failed read.
     pub(super) is_caught_up: bool,
-    /// Whether the log said that the stream never held a record.
+    /// Whether the log has reported that the stream never held a record.
     pub(super) has_seen_empty_stream: bool,
-    /// What is wrong with the stream.
+    /// The current fault of the stream.
     pub(super) fault: Option<LogFault>,
-    /// Oldest offset that the log keeps, when it last answered.
+    /// Oldest offset in the log, as of its last answer.
     pub(super) oldest_offset: LogOffset,
-    /// Offset that the next append gets, when it last answered.
+    /// Offset of the next append, as of the last answer of the log.
     pub(super) next_offset: LogOffset,
-    /// When the next read is due that no other reason asks for.
+    /// When the next read is due, if nothing else requires one earlier.
     pub(super) poll_at: Duration,
 }
 
-/// One read under way.
+/// A read under way.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutstandingRead {
     pub(super) id: ReadId,
     pub(super) purpose: ReadPurpose,
-    /// Until when the log may hold it for news.
+    /// End of the long poll: until then the log may hold an empty answer.
     pub(super) held_until: Duration,
-    /// When it is given up without an answer.
+    /// When it times out.
     pub(super) expires_at: Duration,
 }
 
 /// What a read is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// The records behind the last one taken in.
+    /// Reads the records after the last one applied.
     Follow,
-    /// The last record taken in and those behind it.
+    /// Reads the last record applied, to verify it, and those after it.
     Verify,
-    /// A snapshot, from the oldest record on.
+    /// Searches for a snapshot, from the oldest record on.
     Scan,
 }
 
-/// What is wrong with the stream; the text is for operators.
+/// An inconsistency between the stream and what this node has read of it.
+///
+/// `Display` gives the text for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub(crate) enum LogFault {
     /// The log ends before what this node has read.
@@ -75,27 +77,28 @@
          through {through}; nothing is taken from it until it holds that record again"
     )]
     WentBackwards {
-        /// What the log gives as its end.
+        /// End of the stream: offset of the next append.
         next_offset: LogOffset,
-        /// What this node has taken in.
+        /// The last record that this node has read.
         through: LogOffset,
     },
-    /// The log holds another record where this node has read one.
+    /// The log holds another record at an offset that this node has read.
     #[display(
         "the log holds another record at offset {through} than this node has read there; \
          nothing is taken from it"
     )]
     OtherStream {
-        /// The offset.
+        /// Offset of the record.
         through: LogOffset,
     },
-    /// Records that this node has not read are gone, and nothing makes up for them.
+    /// Records have expired that this node has not read, and neither a snapshot nor another node
+    /// has replaced them yet.
     #[display(
         "the log forgot its records before offset {oldest_offset}, this node had not read them, \
          and neither a snapshot nor another node makes up for them yet"
     )]
     HistoryLost {
-        /// The oldest record kept.
+        /// The oldest record in the log.
         oldest_offset: LogOffset,
     },
 }
--- a/crates/kumquatquay-core/src/configuration/log_reading.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reading.rs
@@ -1,4 +1,4 @@
-//! Reads of the configuration stream: what is decided.
+//! Reads of the configuration stream: scheduling, and handling of the answers.
 
 use std::time::Duration;
 
@@ -14,45 +14,45 @@
     Blackboard, Counter, LogRecord, Moment, Note, Output, ReadId, Severity, routed::EraChange,
 };
 
-/// How long the log may hold back an empty answer to a follower.
+/// How long the log may hold an empty answer to a follower that is caught up (long poll).
 const LONG_POLL_WAIT: Duration = Duration::from_secs(5);
 
-/// The same while an operator waits for a confirmation.
+/// The same for any node while a confirmation is under way, for which an operator waits.
 const CONFIRMATION_LONG_POLL_WAIT: Duration = Duration::from_millis(200);
 
-/// Beyond the wait, how long until a read counts as failed, at first and at the longest.
+/// Bounds of the read timeout, which begins when the long poll ends.
 ///
-/// A read that meets a silence of the log is never answered, and no other is begun beside
-/// it: with a fixed patience of 12 s a node was deaf for 17 s after the log's return, and a
-/// change confirmed there was not in force within its 14 s. A log that takes several seconds
-/// is slow and no reason to call it down, so the patience doubles with each read that is
-/// given up, and is kept at twice what answers take. The longest one and
-/// [`MAX_RETRY_PAUSE`] are 12 s together.
+/// While the log is down a read is never answered, and a node has only one read outstanding.
+/// With a fixed timeout of 12 s a node read nothing for 17 s after the log was back, and a
+/// change that was confirmed there was not in force within the required 14 s. A log that takes
+/// several seconds to answer is slow but not down, so the timeout doubles with each read that
+/// times out; after an answer it is twice the time that this took beyond its long poll. The
+/// maximum and [`MAX_RETRY_PAUSE`] add up to 12 s.
 const MIN_READ_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_READ_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause after the first failed read; it doubles with each further one.
+/// Pause after the first failed read. It doubles with each further failure in a row.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The longest pause after a failed read. Half of it, and the read, still fit
-/// the time in which a change must be in force.
+/// Longest pause after a failed read. Half of it plus the read are still within the time in
+/// which a change must be in force.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(4);
 
-/// Pause between reads while the stream is in doubt.
+/// Pause between reads while the stream has a [`LogFault`].
 const FAULT_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time between reads of a node that does not follow the log, on average.
+/// Mean time between reads of a node that is no follower of the log.
 ///
-/// It is the last resort if gossip fails silently: 5,100 nodes make 85 reads a
-/// second, mostly empty.
+/// These reads are the fallback for a silent failure of gossip. 5,100 nodes make 85 of them a
+/// second, mostly with an empty answer.
 const POLL_INTERVAL_S: u64 = 60;
 
-/// How long a node that started with nothing waits for another node before it
-/// asks the log, so that 470 replacements a day don't all read the whole stream.
+/// How long a node without a configuration waits for an answer of another node before it reads
+/// the log, so that not each of 470 replaced nodes a day reads the whole stream.
 const PEER_FETCH_HEAD_START: Duration = Duration::from_millis(500);
 
-/// How long a node that heard of a later version waits for the answer of
-/// another node before it asks the log.
+/// How long a node that knows of a later version tries to fetch it from other nodes before it
+/// reads the log.
 const PEER_FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An answer of the log to a read.
@@ -83,7 +83,7 @@
         read_timeout.clamp(MIN_READ_TIMEOUT, MAX_READ_TIMEOUT);
 }
 
-/// Lets the next read start at once.
+/// Makes the next read due at once, also during the pause after a failed read.
 pub(super) fn read_immediately(board: &mut Blackboard) {
     board.configuration.reader.next_read_at = Duration::ZERO;
 }
@@ -140,7 +140,7 @@
     });
 }
 
-/// Takes the outstanding read if it has this id.
+/// Takes the outstanding read out of the state if it has this id.
 fn take_outstanding(board: &mut Blackboard, read: ReadId) -> Option<OutstandingRead> {
     let outstanding = &mut board.configuration.reader.outstanding;
     outstanding.take_if(|outstanding| outstanding.id == read)
@@ -162,7 +162,8 @@
         reader.failing_since = Some(now.monotonic);
         out.push(Output::Note(Note::warn(
             "log_not_answering",
-            "the log did not answer a read of the configuration; what is in force stays so",
+            "the log did not answer a read of the configuration stream; the configuration in force \
+             is kept",
         )));
     }
 }
@@ -183,13 +184,13 @@
     if !has_contiguous_offsets(&answer) {
         out.push(Output::Note(Note::warn(
             "log_out_of_order",
-            "the log answered a read with records out of order; they were not taken in",
+            "the log answered a read with offsets that are not contiguous; the answer was discarded",
         )));
         on_failed(board, now, read, out);
         return;
     }
     if board.configuration.reader.eras.is_past(answer.era) {
-        // It was answered before the log came back from a copy.
+        // The answer dates from before the log was restored from a backup.
         on_failed(board, now, read, out);
         return;
     }
@@ -215,8 +216,10 @@
     }
 }
 
-/// Whether the log came back from a copy. It may hold other records at the offsets that this node
-/// has read, so the last one is checked before anything is taken in.
+/// Whether the log was restored from a backup since its last answer.
+///
+/// It may now hold other records at the offsets that this node has read, so the last record read
+/// is verified before further ones are applied.
 fn detect_restore(board: &mut Blackboard, era: Option<StoreEra>, out: &mut Vec<Output>) -> bool {
     let reader = &mut board.configuration.reader;
     let EraChange::Restored { previous } = reader.eras.observe(era) else {
@@ -231,8 +234,8 @@
     out.push(Output::Note(Note::warn(
         "log_returned_from_copy",
         format!(
-            "the log came back from an older copy, in era {}, after era {}; what is in \
-             force stays so, and the last record that was read is looked for",
+            "the log was restored from an older backup, in era {}, after era {}; the \
+             configuration in force is kept, and the last record read is verified next",
             era.unwrap_or_default(),
             previous.unwrap_or_default()
         ),
@@ -246,15 +249,15 @@
     if reader.failing_since.take().is_some() {
         out.push(Output::Note(Note::info(
             "log_answers_again",
-            "the log answers reads of the configuration again",
+            "the log answers reads of the configuration stream again",
         )));
     }
 }
 
-/// Whether the offsets are those of one stream without holes.
+/// Whether the offsets are contiguous and consistent with the ends of the stream.
 ///
-/// A hole would be a change that this node never hears of, so an answer with
-/// one counts as no answer.
+/// This node would never read a change in a gap, so an answer with a gap counts as a failed
+/// read.
 fn has_contiguous_offsets(answer: &ReadAnswer) -> bool {
     let offsets: Vec<LogOffset> = answer.records.iter().map(|record| record.offset).collect();
     let is_dense = offsets.windows(2).all(|pair| pair[0] + 1 == pair[1]);
@@ -282,7 +285,9 @@
     true
 }
 
-/// Reports a doubt once, and takes nothing until the stream is verified.
+/// Records a fault of the stream, and logs and counts it unless it is already the current one.
+///
+/// No record is applied until the last one read is verified.
 fn raise_fault(board: &mut Blackboard, now: Moment, fault: LogFault, out: &mut Vec<Output>) {
     let reader = &mut board.configuration.reader;
     reader.must_verify = true;
@@ -309,7 +314,7 @@
     let is_kept = answer.oldest_offset <= through;
     if is_kept {
         let Some(first) = records.first().filter(|first| first.offset == through) else {
-            // The log said that it keeps the record and did not give it; ask again.
+            // The answer lacks the record although the log says that it keeps it; read again.
             board.configuration.reader.next_read_at = now.monotonic + MIN_RETRY_PAUSE;
             return;
         };
@@ -345,19 +350,19 @@
     confirmation::finish_decided(board, out);
 }
 
-/// The log has forgotten records that this node has not read.
+/// Handles an answer which shows that records expired before this node read them.
 ///
-/// Reading on would leave out changes, some of them perhaps the base of later
-/// ones, and this node would judge these otherwise than all others do. So it
-/// takes nothing until a snapshot or another node bridges the gap.
+/// Without the missing changes, which may be the base of later ones, this node would accept or
+/// reject the later ones differently from the other nodes. So it applies no record until a
+/// snapshot or another node has closed the gap.
 fn on_gap(board: &mut Blackboard, now: Moment, answer: ReadAnswer, out: &mut Vec<Output>) {
     board.configuration.reader.is_caught_up = false;
     board.counters.increment(Counter::ConfigurationGaps);
     out.push(Output::Note(Note::warn(
         "configuration_gap",
         format!(
-            "the log keeps records from offset {} on and this node has not read offset {}; \
-             it looks for a snapshot",
+            "the oldest record in the log is at offset {}, but this node has not read offset {}; \
+             it searches the stream for a snapshot",
             answer.oldest_offset,
             board.configuration.state.next_offset()
         ),
@@ -405,7 +410,9 @@
     }
 }
 
-/// Another node or a snapshot has made up for the gap.
+/// Resumes the reads after a snapshot or another node has advanced the state.
+///
+/// This closes a gap if there was one. The next read verifies the last record applied.
 pub(super) fn on_gap_closed(board: &mut Blackboard) {
     let reader = &mut board.configuration.reader;
     reader.scan_from = None;
@@ -428,7 +435,7 @@
         }
         Err(error) => {
             board.configuration.state.advance_to(record.offset, digest);
-            let detail = format!("record {} was passed over: {error}", record.offset);
+            let detail = format!("skipped unreadable record {}: {error}", record.offset);
             out.push(Output::Note(Note::warn(
                 "configuration_record_unreadable",
                 detail,
--- a/crates/kumquatquay-core/src/configuration/peer_fetch.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_fetch.rs
@@ -1,4 +1,4 @@
-//! How a node gets the configuration from other nodes.
+//! Fetches the configuration from other nodes and serves it to them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,35 +10,37 @@
 use super::{confirmation, in_force, log_reading, peer_versions};
 use crate::{Blackboard, Counter, Moment, Note, Output};
 
-/// When a question without an answer is given up.
+/// Timeout of a question to another node.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between questions of a node that knows nothing yet.
+/// Minimum time between questions to arbitrary nodes, as asked by a node without a configuration or
+/// with a gap in the stream.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Failed reads in a row before a follower asks another data centre.
+/// Consecutive failed reads of the log after which a follower asks other data centres.
 const FAILURES_TO_ASK_OTHER_DATA_CENTRE_COUNT: u32 = 2;
 
-/// Time between questions to another data centre: three followers ask, so that
-/// one of them does so about every second.
+/// Time between questions of a follower to other data centres.
+///
+/// Each data centre has three followers, so one of them asks about every second.
 const ASK_OTHER_DATA_CENTRE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Fetches from other nodes.
+/// State of the fetches from other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct PeerFetch {
-    /// Whom this node has asked, and when it gives up.
+    /// The node that was asked, and when the question times out.
     outstanding: Option<(SocketAddr, Duration)>,
-    /// A node to ask next, because it told of a later version meanwhile.
+    /// The node to ask next: it reported a later version while another question was outstanding.
     next: Option<SocketAddr>,
-    /// No question to any node before.
+    /// Earliest time of the next question to an arbitrary node.
     ask_at: Duration,
-    /// Since when a later version than this node's is known to exist.
+    /// When this node first learnt of a version later than its own; `None` if it knows of none.
     pub(super) behind_since: Option<Duration>,
-    /// No question to another data centre before.
+    /// Earliest time of the next question to another data centre.
     ask_other_data_centre_at: Duration,
-    /// The latest version heard of.
+    /// The latest version that other nodes have reported while this node was behind.
     highest: Option<ConfigurationVersion>,
-    /// When the node first ticked.
+    /// Time of the first tick.
     pub(super) started_at: Duration,
     has_started: bool,
 }
@@ -61,11 +63,12 @@
     ask_other_data_centre(board, now, out);
 }
 
-/// Asks a node of another data centre while the log does not answer a follower.
+/// Asks a random node of another data centre if this node is a follower and the log does not
+/// answer it.
 ///
-/// A data centre that is cut off declares the others' nodes dead, and gossip
-/// takes a while to find them again. Its followers ask all the same, so that
-/// the first exchange that gets through after the cut brings what was missed.
+/// During a network partition a data centre declares the nodes of the others dead, and gossip
+/// needs a while to rediscover them. The followers ask dead nodes, too, so that the first exchange
+/// after the partition brings the changes that were missed.
 fn ask_other_data_centre(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let configuration = &board.configuration;
     let is_log_unreachable = configuration.ranks.is_follower()
@@ -89,7 +92,7 @@
     }
 }
 
-/// Another node told of a version later than this node's.
+/// Handles a report of a version later than this node's: asks the node that reported it.
 pub(super) fn on_newer_version(
     board: &mut Blackboard,
     now: Moment,
@@ -107,7 +110,7 @@
     }
 }
 
-/// Asks some node of the data centre, or a seed where none is known.
+/// Asks a random node, preferably of the own data centre, or a seed if no node is known.
 pub(super) fn ask_any_node(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let peers = &board.configuration.peers;
     if peers.outstanding.is_some() || now.monotonic < peers.ask_at {
@@ -163,7 +166,7 @@
     });
 }
 
-/// Asks another node for the version that it has in force, for a status.
+/// Asks another node which version it has in force; the operator command `status` reports it.
 pub(super) fn ask_version(board: &mut Blackboard, to: SocketAddr, out: &mut Vec<Output>) {
     let question = ConfigurationQuestion {
         through: None,
@@ -172,7 +175,7 @@
     send(board, to, question, out);
 }
 
-/// Answers another node's question about the configuration.
+/// Answers a question of another node about the configuration.
 pub(crate) fn on_bulk_question(board: &Blackboard, question: &[u8]) -> Vec<u8> {
     let answer = match ConfigurationQuestion::from_bytes(question) {
         Ok(question) if question.wants_version_only => {
@@ -208,7 +211,7 @@
     }
 }
 
-/// Another node answered a question about the configuration.
+/// Handles the answer of another node to a question about the configuration.
 pub(crate) fn on_bulk_answer(
     board: &mut Blackboard,
     now: Moment,
@@ -231,7 +234,7 @@
         Ok(answer @ ConfigurationAnswer::Changes { .. }) => apply_changes(board, now, answer, out),
         Ok(ConfigurationAnswer::Nothing | ConfigurationAnswer::Version(_)) => false,
         Err(error) => {
-            let detail = format!("{from} answered with {error}");
+            let detail = format!("unreadable configuration answer from {from}: {error}");
             out.push(Output::Note(Note::warn(
                 "configuration_answer_unreadable",
                 detail,
@@ -270,8 +273,8 @@
         .into_iter()
         .filter(|accepted| Some(accepted.version) > known);
     if !in_force::apply_peer_changes(board, now, later.collect(), out) {
-        let detail = "changes from another node don't follow on what is in force here; \
-                      the log decides";
+        let detail = "changes from another node can't be applied to the configuration in force \
+                      here; the log decides";
         out.push(Output::Note(Note::warn(
             "configuration_contradiction",
             detail,
@@ -282,7 +285,7 @@
     true
 }
 
-/// Another node did not answer.
+/// Handles a question that failed or was not answered.
 pub(crate) fn on_bulk_failed(
     board: &mut Blackboard,
     now: Moment,
@@ -303,8 +306,8 @@
     }
 }
 
-/// Forgets that this node was behind, if it has the latest version heard of or
-/// has just read to the end of the log, which is the authority.
+/// Clears `behind_since` if this node has the latest version that was reported, or has
+/// just read to the end of the log, which is authoritative.
 pub(super) fn clear_behind(board: &mut Blackboard, is_at_end_of_log: bool) {
     let version = board.configuration.version();
     let peers = &mut board.configuration.peers;
--- a/crates/kumquatquay-core/src/configuration/planner.rs
+++ b/crates/kumquatquay-core/src/configuration/planner.rs
@@ -1,4 +1,4 @@
-//! Plans: what a change would do and where.
+//! Plans of changes: what a change would do, and on which hosts.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -16,13 +16,14 @@
 };
 use crate::{Blackboard, Moment};
 
-/// Hosts that a plan lists one by one for each service and data centre.
+/// Limit of the hosts that a plan lists per service and data centre, separately for reachable and
+/// unreachable ones.
 const HOSTS_LIMIT_COUNT: usize = 100;
 
-/// Callers whose load a plan lists for each service.
+/// Limit of the callers whose load a plan lists per service.
 const CALLERS_LIMIT_COUNT: usize = 50;
 
-/// Plans the intents that an operator wants.
+/// Makes a plan of an operator's edits, or returns the mistakes in them.
 pub(super) fn plan(
     board: &mut Blackboard,
     now: Moment,
@@ -36,7 +37,7 @@
     make_plan(board, now, edits)
 }
 
-/// Plans the return to what a change replaced.
+/// Makes a plan that restores the intents that a change replaced; the latest change by default.
 pub(super) fn plan_revert(
     board: &mut Blackboard,
     now: Moment,
@@ -54,7 +55,7 @@
     make_plan(board, now, edits)
 }
 
-/// The intents that a change replaced.
+/// The edits that restore the intents that a change replaced.
 fn reverting_edits(
     board: &Blackboard,
     version: Option<ConfigurationVersion>,
@@ -123,11 +124,11 @@
     }
 }
 
-/// An id that no other plan has.
+/// A unique id for a change.
 ///
-/// A node that restarts with the same seed draws the same numbers. Its plans
-/// would then have the ids of earlier changes, and confirming one would be
-/// taken for the repeat of another; so its life and the time go in as well.
+/// A node that restarts with the same seed draws the same random numbers. So that its plans don't
+/// get the ids of earlier changes and count as duplicates of these when they are confirmed, the id
+/// is also derived from the incarnation and address of the node and from the time.
 fn new_change_id(board: &mut Blackboard, now: Moment) -> ChangeId {
     let mut bytes = Vec::new();
     bytes.extend(board.random.random::<u64>().to_le_bytes());
@@ -178,7 +179,8 @@
     places.into_values().collect()
 }
 
-/// The callers seen here lately: how much they ask, and their place now and then.
+/// The callers observed at this node recently: their call rate and their rank before and after the
+/// change.
 fn load(
     board: &Blackboard,
     service: &str,
@@ -200,14 +202,14 @@
     load
 }
 
-/// The place of a caller's most important requests, from 1.
+/// The rank of a caller's most important requests, from 1.
 fn best_rank(intent: Option<&Intent>, caller: &str) -> Option<usize> {
     let mut priorities = intent?.priorities.iter();
     let rank = priorities.position(|priority| priority.caller.as_deref() == Some(caller));
     rank.map(|rank| rank + 1)
 }
 
-/// Who is refused first in an overload, first to last.
+/// The order in which requests are refused in an overload, the first to be refused first.
 fn refusal_order(intent: Option<&Intent>) -> Vec<String> {
     let mut order = Vec::new();
     let limits = intent.map_or(&[][..], |intent| &intent.limits);
@@ -260,7 +262,8 @@
     unknowns
 }
 
-/// What a mistaken name is compared with, and other findings about intents.
+/// The services and callers whose names this node knows, against which names in intents are
+/// checked.
 pub(super) fn names(board: &Blackboard) -> OperatorReply {
     let names = Names::known_to(board);
     OperatorReply::Names {
