--- a/crates/kumquatquay-core/src/explain/controller.rs
+++ b/crates/kumquatquay-core/src/explain/controller.rs
@@ -1,16 +1,16 @@
-//! What is remembered of refusals, and how it is told.
+//! Records refusals and explains them to operators.
 
 use kumquatquay_wire::{Class, Explanation, OperatorReply, RefusalRecord, TraceId};
 
 use crate::{Blackboard, Moment, Refusal, call::Call};
 
-/// Refusals that one explanation lists.
-const EXPLANATION_LIMIT_COUNT: usize = 50;
+/// Most refusals that one explanation lists.
+const EXPLAINED_REFUSALS_LIMIT_COUNT: usize = 50;
 
-/// The longest path that is remembered, in characters.
-const PATH_LIMIT_COUNT: usize = 128;
+/// Most characters of a path that are recorded.
+const PATH_CHARACTERS_LIMIT_COUNT: usize = 128;
 
-/// A call that is refused.
+/// Attributes of a refused call that are recorded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefusedCall<'a> {
     pub(crate) trace: TraceId,
@@ -34,14 +34,18 @@
     }
 }
 
-/// Remembers a refusal.
+/// Records a refusal, with the version of the configuration in force.
 pub(crate) fn record(
     board: &mut Blackboard,
     now: Moment,
     call: RefusedCall<'_>,
     refusal: &Refusal,
 ) {
-    let path: String = call.path.chars().take(PATH_LIMIT_COUNT).collect();
+    let path: String = call
+        .path
+        .chars()
+        .take(PATH_CHARACTERS_LIMIT_COUNT)
+        .collect();
     let version = board.configuration.version();
     board.refusals.push(RefusalRecord {
         refused_unix_ms: now.unix_ms(),
@@ -57,16 +61,22 @@
     });
 }
 
-/// Says why a request, or the requests of a caller, were refused here.
+/// Explains why a request, or the requests of a caller, were refused at this node.
+///
+/// `subject` is a trace id in hexadecimal or the name of a caller. The answer also lists what the
+/// intents in force say of the caller.
 pub(crate) fn explain(board: &Blackboard, subject: String) -> OperatorReply {
     let refusals = board.refusals.iter().filter(|refusal| {
         refusal.trace.eq_ignore_ascii_case(&subject) || refusal.caller == subject
     });
-    let refusals: Vec<RefusalRecord> = refusals.take(EXPLANATION_LIMIT_COUNT).cloned().collect();
+    let refusals: Vec<RefusalRecord> = refusals
+        .take(EXPLAINED_REFUSALS_LIMIT_COUNT)
+        .cloned()
+        .collect();
     let caller = refusals
         .first()
         .map_or(subject.as_str(), |refusal| &refusal.caller);
-    let intents = said_of(board, caller);
+    let intents = rules_for_caller(board, caller);
     OperatorReply::Explanation(Explanation {
         subject,
         refusals,
@@ -74,8 +84,8 @@
     })
 }
 
-/// What the intents in force say of a caller.
-fn said_of(board: &Blackboard, caller: &str) -> Vec<String> {
+/// Priorities and rate limits that the intents in force give to a caller, one per line.
+fn rules_for_caller(board: &Blackboard, caller: &str) -> Vec<String> {
     let mut lines = Vec::new();
     for intent in board.configuration.intents() {
         let service = &intent.service;
--- a/crates/kumquatquay-core/src/explain/mod.rs
+++ b/crates/kumquatquay-core/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! Why requests were refused, for operators.
+//! Recent refusals, explained to operators.
 
 mod controller;
 mod refusal_table;
--- a/crates/kumquatquay-core/src/explain/refusal_table.rs
+++ b/crates/kumquatquay-core/src/explain/refusal_table.rs
@@ -1,13 +1,13 @@
-//! The last refusals of a node.
+//! Bounded table of the latest refusals of a node.
 
 use std::collections::VecDeque;
 
 use kumquatquay_wire::RefusalRecord;
 
-/// Refusals that a node remembers; the oldest goes first.
+/// Most refusals in the table; the oldest is evicted first.
 const REFUSALS_LIMIT_COUNT: usize = 1_024;
 
-/// The last refusals, oldest first.
+/// The latest refusals of a node, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RefusalTable {
     refusals: VecDeque<RefusalRecord>,
@@ -21,7 +21,7 @@
         self.refusals.push_back(refusal);
     }
 
-    /// Newest first.
+    /// Iterates over the refusals, newest first.
     pub(super) fn iter(&self) -> impl Iterator<Item = &RefusalRecord> {
         self.refusals.iter().rev()
     }
--- a/crates/kumquatquay-core/src/input/backend_input.rs
+++ b/crates/kumquatquay-core/src/input/backend_input.rs
@@ -5,37 +5,37 @@
 use kumquatquay_wire::{BackendLife, MemberState, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// What the backend server does.
+/// An event of the backend server of this host.
 #[derive(Clone, Debug)]
 pub enum BackendInput {
-    /// It announces itself, or its state changes.
+    /// It announced itself or a change of its state.
     Announced(Announcement),
     /// Its health endpoint answered.
     HealthReported {
-        /// Whether it says that it is healthy.
+        /// Whether it reports itself as healthy.
         is_healthy: bool,
     },
-    /// It died: its process or its listening socket is gone.
+    /// It died: its process has ended or its listening socket is closed.
     Died,
 }
 
-/// What a backend server says of itself, as JSON at `POST /announcements`.
+/// Announcement of a backend server, sent as JSON to `POST /announcements`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Service that it belongs to.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// Its life, if it names it; see [`MemberRecord::life`].
+    /// Id of its present run, if it states one; see [`MemberRecord::life`].
     ///
     /// [`MemberRecord::life`]: kumquatquay_wire::MemberRecord::life
     #[serde(default)]
     pub life: Option<BackendLife>,
-    /// Where its node reaches it.
+    /// Address at which its node reaches it.
     pub address: SocketAddr,
-    /// Requests that it can run at the same time.
+    /// Most requests that it can run concurrently.
     pub slots_count: u32,
-    /// Connections that it accepts.
+    /// Most connections that it accepts.
     pub connections_count: u32,
-    /// Its state.
+    /// State of the backend server.
     pub state: MemberState,
 }
--- a/crates/kumquatquay-core/src/input/bulk_input.rs
+++ b/crates/kumquatquay-core/src/input/bulk_input.rs
@@ -1,14 +1,16 @@
-//! Inputs about bulk exchanges with other nodes.
+//! Inputs from bulk exchanges with other nodes.
 
 use std::net::SocketAddr;
 
-/// How a bulk exchange ended; the frames are the node's own, see `docs/PROTOCOL.md`.
+/// An event of a bulk exchange over TCP.
+///
+/// The frames are a protocol between nodes, see `docs/PROTOCOL.md`.
 #[derive(Clone, Debug)]
 pub enum BulkInput {
-    /// Another node asks for bulk state; answered by
+    /// Another node asked for state; answered by
     /// [`Output::BulkAnswer`](crate::Output::BulkAnswer).
     Asked {
-        /// Names the exchange in the answer.
+        /// Id of the exchange, which the answer repeats.
         exchange: u64,
         /// The authenticated question.
         question: Vec<u8>,
@@ -20,7 +22,7 @@
         /// The authenticated answer.
         answer: Vec<u8>,
     },
-    /// The other node did not answer.
+    /// The other node did not answer an [`Output::BulkAsk`](crate::Output::BulkAsk).
     Failed {
         /// Control address of the other node.
         from: SocketAddr,
--- a/crates/kumquatquay-core/src/input/log_input.rs
+++ b/crates/kumquatquay-core/src/input/log_input.rs
@@ -4,14 +4,14 @@
 
 use crate::{AppendId, ReadId};
 
-/// How an exchange with the log ended.
+/// How an append to the log or a read from it ended.
 #[derive(Clone, Debug)]
 pub enum LogInput {
     /// The log answered an append.
     Appended {
         /// The append.
         append: AppendId,
-        /// Where the record is.
+        /// Offset of the record.
         offset: LogOffset,
     },
     /// The log refused the append; the record is not in the stream.
@@ -19,7 +19,7 @@
         /// The append.
         append: AppendId,
     },
-    /// The answer was lost: the append may have taken effect or may yet.
+    /// The answer was lost: the record may be in the stream, or may get there later.
     AppendOutcomeUnknown {
         /// The append.
         append: AppendId,
@@ -32,12 +32,12 @@
         stream: StreamName,
         /// Records in the order of their offsets; empty at the end of the stream.
         records: Vec<LogRecord>,
-        /// The oldest offset that the log still keeps.
+        /// The oldest offset that the log still holds.
         oldest_offset: LogOffset,
         /// The offset that the next append will get.
         next_offset: LogOffset,
-        /// The era of the log; one higher each time that it comes back from an older copy.
-        /// `None` if it tells none.
+        /// The era of the log, which rises by one each time that the log is restored from a
+        /// backup. `None` if the log states none.
         era: Option<StoreEra>,
     },
     /// The log did not answer the read.
@@ -50,10 +50,10 @@
 /// One record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Its place.
+    /// Offset in the stream.
     pub offset: LogOffset,
-    /// When the log took it, by the log's clock, in milliseconds since the Unix epoch.
+    /// When the log appended it, by the log's clock, in milliseconds since the Unix epoch.
     pub appended_unix_ms: u64,
-    /// Its bytes.
+    /// Content of the record.
     pub bytes: Vec<u8>,
 }
--- a/crates/kumquatquay-core/src/input/mod.rs
+++ b/crates/kumquatquay-core/src/input/mod.rs
@@ -1,4 +1,4 @@
-//! What a host tells its node.
+//! Inputs: events that the host reports to its node.
 
 mod backend_input;
 mod bulk_input;
@@ -22,36 +22,36 @@
 use derive_more::From;
 use kumquatquay_wire::Datagram;
 
-/// One thing that happened.
+/// An event that the host reports to its node.
 #[derive(Clone, Debug, From)]
 pub enum Input {
-    /// Time passed; the host sends it again after
+    /// Time passed. The host sends the next tick after
     /// [`Node::tick_interval`](crate::Node::tick_interval) at the latest.
     #[from(skip)]
     Tick,
-    /// The host was asked to stop: no new work from now on, and
-    /// [`Output::StopNow`](crate::Output::StopNow) once nothing is under way or
-    /// the grace has run out.
+    /// The host was asked to stop. The node accepts no new work from now on, and returns
+    /// [`Output::StopNow`](crate::Output::StopNow) once nothing is under way or the grace period
+    /// is over.
     #[from(skip)]
     Stopping {
-        /// The longest that the stop may take.
+        /// Grace period: the longest time that the stop may take.
         grace: Duration,
     },
-    /// About a call that leaves through this node.
+    /// An event of a call that leaves through this node.
     Call(CallInput),
-    /// About work for the backend server of this host.
+    /// An event of work for the backend server of this host.
     Work(WorkInput),
-    /// About the backend server of this host.
+    /// An event of the backend server of this host.
     Backend(BackendInput),
-    /// Control addresses that the host found in a register of nodes.
+    /// Control addresses of other nodes that the host found in a register.
     #[from(skip)]
     Seeds(Vec<SocketAddr>),
     /// An authenticated control datagram arrived.
     Datagram(Datagram),
-    /// A bulk exchange with another node ended.
+    /// An event of a bulk exchange with another node.
     Bulk(BulkInput),
     /// An exchange with the platform's log ended.
     Log(LogInput),
-    /// An operator asks something.
+    /// An operator sent a command.
     Operator(OperatorInput),
 }
--- a/crates/kumquatquay-core/src/input/operator_input.rs
+++ b/crates/kumquatquay-core/src/input/operator_input.rs
@@ -7,10 +7,10 @@
 /// A command from an authenticated operator.
 #[derive(Clone, Debug)]
 pub struct OperatorInput {
-    /// Chosen by the host; the answer repeats it.
+    /// Id assigned by the host, which the answer repeats.
     pub request: OperatorRequestId,
-    /// Name of the operator, as the token proves it.
+    /// Name of the operator, authenticated by a token.
     pub operator: String,
-    /// What is asked.
+    /// The command.
     pub command: OperatorCommand,
 }
--- a/crates/kumquatquay-core/src/input/work_input.rs
+++ b/crates/kumquatquay-core/src/input/work_input.rs
@@ -4,51 +4,51 @@
 
 use crate::WorkId;
 
-/// What happens to a piece of work.
+/// An event of a piece of work.
 #[derive(Clone, Debug)]
 pub enum WorkInput {
-    /// A call from a node (this one included) arrived at the gate.
+    /// A call from another node or from this one arrived at the gate.
     Arrived {
-        /// Chosen by the host.
+        /// Id assigned by the host.
         work: WorkId,
-        /// What the sending node says of it.
+        /// Context that the sending node sent.
         context: RequestContext,
     },
-    /// The head of the backend server's answer arrived, or it failed.
+    /// The head of the backend server's answer arrived, or the work failed.
     Answered {
         /// The work.
         work: WorkId,
-        /// What came of it.
+        /// Result of the work.
         result: WorkResult,
     },
-    /// The body of the answer was read to its end or given up; the backend
-    /// server runs it no longer.
+    /// The body of the answer was read to its end or aborted; the backend server no longer runs
+    /// the work.
     Finished {
         /// The work.
         work: WorkId,
     },
-    /// The sending node has gone or cancelled.
+    /// The sending node closed the connection or cancelled the work.
     Cancelled {
         /// The work.
         work: WorkId,
     },
 }
 
-/// What the backend server did with a piece of work.
+/// Result of a piece of work at the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkResult {
     /// It answered.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Whether the answer carries the backend server's documented
-        /// statement that it did not run the request.
+        /// Whether the answer carries the header by which a backend server states that it did
+        /// not run the request.
         says_not_run: bool,
     },
-    /// No byte was handed over: the connection was refused.
+    /// No byte was sent, for instance because the connection was refused.
     NotSent,
-    /// The connection broke after the request was handed over.
+    /// The connection broke after the request was sent.
     Broken,
-    /// The time given with the work ran out.
+    /// There was no answer within the time-out of the work.
     TimedOut,
 }
