--- a/crates/kumquatquay-core/src/configuration/classification_table.rs
+++ b/crates/kumquatquay-core/src/configuration/classification_table.rs
@@ -1,4 +1,4 @@
-//! The intents in force, compiled for the path of a call.
+//! The intents in force, compiled for the classification of calls.
 
 use std::collections::HashMap;
 
@@ -6,16 +6,15 @@
 
 use super::classification::{CallerLimit, Classification, DEFAULT_CLASS, is_idempotent_method};
 
-/// What the intents say of any call, found in two hash look-ups.
+/// Classification of calls by the intents in force, with two hash lookups per call.
 ///
-/// Only looked up, never iterated, so that the order of a hash map can't reach
-/// an output.
+/// The hash maps are never iterated, so that their order can't affect an output.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassificationTable {
     services: HashMap<ServiceName, CompiledIntent>,
 }
 
-/// One intent, by caller.
+/// One intent, indexed by caller.
 #[derive(Clone, Debug, Default)]
 struct CompiledIntent {
     callers: HashMap<CallerName, CallerRules>,
@@ -23,14 +22,14 @@
     idempotency: Vec<IdempotencyRule>,
 }
 
-/// What one intent says of one caller.
+/// Rules of one intent for one caller.
 #[derive(Clone, Debug, Default)]
 struct CallerRules {
     classes: Vec<RouteClass>,
     limit: Option<CallerLimit>,
 }
 
-/// Class of the requests at a route; at all routes if `None`.
+/// Class of the requests on a route; on all routes if `route` is `None`.
 #[derive(Clone, Debug)]
 struct RouteClass {
     class: Class,
@@ -38,7 +37,7 @@
 }
 
 impl ClassificationTable {
-    /// Replaces what is known of one service.
+    /// Replaces the intent of a service, or removes it if `None`.
     pub(crate) fn set_intent(&mut self, service: &ServiceName, intent: Option<&Intent>) {
         match intent {
             Some(intent) => {
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Classifies one call.
+    /// Classifies a call; a service without an intent has the defaults.
     pub(crate) fn classify(
         &self,
         caller: &str,
@@ -106,7 +105,7 @@
     }
 }
 
-/// The class of the first priority that matches; they stand in their order.
+/// The class of the first entry that matches; entries are in the order of the priorities.
 fn class_of(classes: &[RouteClass], method: &str, path: &str) -> Class {
     let matches = |class: &&RouteClass| match &class.route {
         Some(route) => route.matches(method, path),
--- a/crates/kumquatquay-core/src/configuration/configuration_dump.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_dump.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the configuration, for people and their tools.
+//! State of the configuration for diagnostics.
 
 use kumquatquay_wire::{ConfigurationVersion, LogOffset};
 use serde::Serialize;
@@ -8,17 +8,17 @@
 /// The configuration in a [`StateDump`](crate::StateDump).
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigurationDump {
-    /// Version in force here.
+    /// Version in force at this node.
     pub version: Option<ConfigurationVersion>,
-    /// The last record of the stream that was taken in.
+    /// Offset of the last record of the stream that was applied.
     pub through: Option<LogOffset>,
-    /// Services that have an intent.
+    /// Number of services that have an intent.
     pub intents_count: usize,
-    /// Whether this node follows the log for its data centre.
+    /// Whether this node is one of the followers of the log in its data centre.
     pub is_follower: bool,
-    /// Confirmations under way here.
+    /// Number of confirmations under way at this node.
     pub confirmations_count: usize,
-    /// What is doubtful, a sentence each.
+    /// Reasons why the version in force may not be the latest, one sentence each.
     pub doubts: Vec<String>,
 }
 
--- a/crates/kumquatquay-core/src/configuration/configuration_table.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_table.rs
@@ -1,4 +1,4 @@
-//! Intents in force: what is known.
+//! Configuration state of a node.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -12,41 +12,41 @@
 };
 use crate::AppendId;
 
-/// Intents in force and what is under way to keep them current.
+/// Intents in force, and the reads, fetches, appends and confirmations under way.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigurationTable {
-    /// What the stream says.
+    /// State that results from the records of the stream.
     pub(super) state: ConfigurationState,
-    /// The same, for the path of a call.
+    /// The intents of that state, compiled for the classification of calls.
     pub(super) classification_table: ClassificationTable,
-    /// When the version in force came in force here, on the monotonic clock.
+    /// Since when the current version is in force at this node, on the monotonic clock.
     pub(super) in_force_since: Duration,
-    /// Reads of the stream.
+    /// Reads of the configuration stream.
     pub(super) reader: LogReader,
     /// Fetches from other nodes.
     pub(super) peers: PeerFetch,
-    /// Re-appends of the state.
+    /// Snapshots appended to the stream.
     pub(super) snapshots: SnapshotSchedule,
     /// Confirmations under way, by change.
     pub(super) confirmations: BTreeMap<ChangeId, Confirmation>,
-    /// Appends under way.
+    /// Purposes of the appends under way.
     pub(super) appends: BTreeMap<AppendId, AppendPurpose>,
-    /// Plans made here.
+    /// Plans made at this node.
     pub(super) plans: PlanTable,
-    /// What other nodes said they have in force.
+    /// Versions that other nodes have reported.
     pub(super) peer_versions: BTreeMap<SocketAddr, PeerVersion>,
-    /// This node's place among those that read the stream.
+    /// Ranks of this node, which decide whether it follows the log.
     pub(super) ranks: Ranks,
-    /// Calls seen lately.
+    /// Rates of the calls that entered at this node recently.
     pub(super) demand: Demand,
 }
 
-/// What an append is for.
+/// Purpose of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AppendPurpose {
     /// A confirmed change.
     Change(ChangeId),
-    /// The state again.
+    /// A snapshot of the state.
     Snapshot,
 }
 
@@ -68,19 +68,19 @@
             .classify(caller, service, method, path)
     }
 
-    /// The intents in force, in the order of their services.
+    /// The intents in force, in the order of the service names.
     pub(crate) fn intents(&self) -> impl Iterator<Item = &Intent> {
         self.state
             .entries()
             .filter_map(|entry| entry.intent.as_ref())
     }
 
-    /// Whether the node knows what is in force, be it nothing.
+    /// Whether this node knows which configuration is in force, even if that is empty.
     pub(crate) fn is_established(&self) -> bool {
         self.state.through().is_some() || self.reader.has_seen_empty_stream
     }
 
-    /// Doubts about what is in force, for operators; empty if there are none.
+    /// Reasons why the version in force here may not be the latest, for operators.
     pub(crate) fn doubts(&self) -> Vec<String> {
         let mut doubts = Vec::new();
         if !self.is_established() {
--- a/crates/kumquatquay-core/src/configuration/demand.rs
+++ b/crates/kumquatquay-core/src/configuration/demand.rs
@@ -1,4 +1,4 @@
-//! Calls seen lately, for the estimates of a plan.
+//! Recent call rates, for the estimates in plans.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,13 +9,14 @@
 
 use crate::{Blackboard, Moment};
 
-/// Time over which calls are counted.
+/// Length of the window in which calls are counted.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Pairs of service and caller that are counted; later ones are not.
+/// Limit of the pairs of service and caller that are counted in a window; further ones are not.
 const PAIRS_LIMIT_COUNT: usize = 1_024;
 
-/// Calls that entered at this node, by service and caller.
+/// Number of calls that entered at this node in the current and the last window, by service and
+/// caller.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     window: BTreeMap<ServiceName, BTreeMap<CallerName, u32>>,
@@ -52,26 +53,26 @@
         }
     }
 
-    /// Calls a second of one caller, in the last whole window.
+    /// Calls per second of one caller to a service, in the last complete window.
     pub(super) fn calls_per_s(&self, service: &str, caller: &str) -> Option<f64> {
         let count = self.last_window.get(service)?.get(caller)?;
         Some(f64::from(*count) / WINDOW.as_secs_f64())
     }
 
-    /// Calls a second of all callers, in the last whole window.
+    /// Calls per second of all callers to a service, in the last complete window.
     pub(super) fn service_calls_per_s(&self, service: &str) -> Option<f64> {
         let callers = self.last_window.get(service)?;
         let count: u32 = callers.values().sum();
         Some(f64::from(count) / WINDOW.as_secs_f64())
     }
 
-    /// The callers of one service and their calls a second, in the last whole window.
+    /// The callers of a service and their calls per second, in the last complete window.
     pub(super) fn callers_of(&self, service: &str) -> impl Iterator<Item = (&CallerName, f64)> {
         let callers = self.last_window.get(service).into_iter().flatten();
         callers.map(|(caller, count)| (caller, f64::from(*count) / WINDOW.as_secs_f64()))
     }
 
-    /// The callers seen lately.
+    /// The named callers of the current and the last window.
     pub(super) fn callers(&self) -> BTreeSet<&CallerName> {
         let windows = self.window.values().chain(self.last_window.values());
         let callers = windows.flat_map(BTreeMap::keys);
--- a/crates/kumquatquay-core/src/configuration/differences.rs
+++ b/crates/kumquatquay-core/src/configuration/differences.rs
@@ -1,8 +1,8 @@
-//! What differs between two intents, in plain English.
+//! Differences between two intents, as text for operators.
 
 use kumquatquay_wire::{Intent, RoutePattern};
 
-/// What becomes of an intent, a line each; empty if nothing does.
+/// The differences between two intents, one line each; empty if there are none.
 pub(crate) fn differences(before: Option<&Intent>, after: Option<&Intent>) -> Vec<String> {
     let nothing = Intent::default();
     let mut lines = Vec::new();
--- a/crates/kumquatquay-core/src/configuration/findings.rs
+++ b/crates/kumquatquay-core/src/configuration/findings.rs
@@ -1,4 +1,4 @@
-//! Mistakes in the intents that an operator wants.
+//! Validation of the intents in an operator's edits.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,11 @@
 
 use crate::Blackboard;
 
-/// How alike two names must be, from 0 to 1, for one to be suggested.
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested for an unknown
+/// one.
 const SUGGESTION_SIMILARITY: f64 = 0.75;
 
-/// Names that are known now.
+/// Names of services and callers that a node knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Names {
     pub(super) services: BTreeSet<ServiceName>,
@@ -49,7 +50,7 @@
     }
 }
 
-/// All mistakes, in the order of what was asked.
+/// All mistakes in the edits, in the order of the edits.
 pub(super) fn check(edits: &[IntentEdit], names: &Names, allows_unknown: bool) -> Vec<Finding> {
     let mut findings = Vec::new();
     if edits.is_empty() {
@@ -151,9 +152,9 @@
     }
 }
 
-/// Callers whose names are unknown and nearly like known ones, with these.
+/// Unknown callers in an intent whose names resemble a known one, each with that one.
 ///
-/// No mistakes: a caller that was never seen may come tomorrow.
+/// These are not findings, because an intent may name a caller that has yet to make its first call.
 pub(super) fn near_misses<'a>(intent: &'a Intent, names: &Names) -> Vec<(&'a str, String)> {
     let protected = intent.priorities.iter();
     let protected = protected.filter_map(|priority| priority.caller.as_deref());
@@ -167,7 +168,7 @@
         .collect()
 }
 
-/// A name without its digits: `bot-2` is no mistake for `bot-1`.
+/// A name without its digits, by which `bot-2` is not taken for a misspelling of `bot-1`.
 fn letters(name: &str) -> String {
     name.chars()
         .filter(|character| !character.is_ascii_digit())
@@ -211,7 +212,7 @@
     }
 }
 
-/// The known name that is most like a mistaken one.
+/// The known name most similar to an unknown one, if any is similar enough.
 pub(crate) fn nearest(name: &str, known: &BTreeSet<String>) -> Option<String> {
     let similarity = |other: &&String| strsim::jaro_winkler(name, other);
     let others = known.iter().filter(|other| other.as_str() != name);
--- a/crates/kumquatquay-core/src/configuration/log_reading.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reading.rs
@@ -184,7 +184,8 @@
     if !has_contiguous_offsets(&answer) {
         out.push(Output::Note(Note::warn(
             "log_out_of_order",
-            "the log answered a read with offsets that are not contiguous; the answer was discarded",
+            "the log answered a read with offsets that are not contiguous; the answer was \
+             discarded",
         )));
         on_failed(board, now, read, out);
         return;
--- a/crates/kumquatquay-core/src/configuration/mod.rs
+++ b/crates/kumquatquay-core/src/configuration/mod.rs
@@ -1,12 +1,13 @@
-//! Intents in force, plans and their confirmation.
+//! Distribution of the intents in force, and plans and confirmations of changes to them.
 //!
-//! Each matter has a module of plain functions over the blackboard:
+//! The modules hold functions over the [`Blackboard`](crate::Blackboard):
 //!
-//! - `configuration_state`: what follows from the stream, a function of its records
-//! - `log_reading`, `peer_fetch`, `peer_versions`: how the node keeps that state current
-//! - `in_force`, `classification_table`: how it reaches the path of a call
-//! - `snapshot_schedule`: appends the state again before the log forgets it
-//! - `planner`, `plan_warnings`, `findings`, `differences`, `confirmation`, `status`: operators
+//! - `configuration_state`: the state, as a function of the records of the configuration stream
+//! - `log_reading`, `peer_fetch`, `peer_versions`: keep the state up to date
+//! - `in_force`, `classification_table`: apply the state to the classification of calls
+//! - `snapshot_schedule`: appends snapshots of the state before the records of the log expire
+//! - `planner`, `plan_warnings`, `findings`, `differences`, `confirmation`, `status`: commands of
+//!   operators
 
 mod classification;
 mod classification_table;
--- a/crates/kumquatquay-core/src/configuration/peer_versions.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_versions.rs
@@ -1,4 +1,4 @@
-//! What other nodes said they have in force.
+//! Versions that other nodes have reported to be in force there.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,25 +8,25 @@
 
 use super::peer_fetch;
 
-/// Nodes whose versions are remembered; beyond it the one heard of least
-/// recently is forgotten and shows as never heard.
+/// Limit of the nodes whose versions are kept. Beyond it the version reported least recently is
+/// evicted, and its node has an unknown version in the status.
 const PEER_VERSIONS_LIMIT_COUNT: usize = 8_192;
 
-/// What one node said last.
+/// The last report of one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PeerVersion {
-    /// The version it has in force.
+    /// The version in force at the node.
     pub(super) version: ConfigurationVersion,
-    /// When it said so, on the monotonic clock.
+    /// When it was reported, on the monotonic clock.
     pub(super) at: Duration,
 }
 
-/// The version to tell other nodes, if any change is in force.
+/// The version that this node gossips; `None` if no change is in force.
 pub(crate) fn version_to_gossip(board: &Blackboard) -> Option<ConfigurationVersion> {
     board.configuration.version()
 }
 
-/// Another node said which version it has in force.
+/// Records the version in force at another node, and fetches it if this node is behind.
 pub(crate) fn on_peer_version(
     board: &mut Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/configuration/plan_table.rs
+++ b/crates/kumquatquay-core/src/configuration/plan_table.rs
@@ -1,13 +1,14 @@
-//! Plans made at this node.
+//! Plans that were made at this node and can be confirmed here by their id.
 
 use std::{collections::VecDeque, time::Duration};
 
 use kumquatquay_wire::{ChangeId, ConfigurationChange, change_id_text};
 
-/// Plans kept; the oldest goes first. Its sealed text still confirms it.
+/// Limit of the plans kept. The oldest is evicted first; it can still be confirmed by its sealed
+/// text.
 const PLANS_LIMIT_COUNT: usize = 256;
 
-/// How long a plan is kept.
+/// Time for which a plan is kept.
 const PLAN_LIFETIME: Duration = Duration::from_secs(3_600);
 
 /// Plans made at this node, oldest first.
@@ -41,7 +42,7 @@
     }
 }
 
-/// The text by which operators name a plan.
+/// The id of a plan, as operators write it.
 pub(super) fn plan_id(change: ChangeId) -> String {
     format!("p-{}", change_id_text(change))
 }
--- a/crates/kumquatquay-core/src/configuration/plan_warnings.rs
+++ b/crates/kumquatquay-core/src/configuration/plan_warnings.rs
@@ -1,4 +1,4 @@
-//! What would go wrong once a plan is in force.
+//! Warnings about the effects of a plan.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 };
 use crate::Blackboard;
 
-/// Warnings about one wanted intent, a sentence each.
+/// Warnings about the intent of one edit, one sentence each.
 pub(super) fn warnings(board: &Blackboard, edit: &IntentEdit) -> Vec<String> {
     let mut warnings = Vec::new();
     let Some(intent) = &edit.intent else {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Protected callers that together may press for more than the service can run.
+/// Warns if the limits of the protected callers together exceed the capacity of the service.
 fn warn_of_capacity(board: &Blackboard, intent: &Intent, warnings: &mut Vec<String>) {
     let service = &intent.service;
     let slots_count: u32 = places(board, service)
@@ -88,7 +88,7 @@
     if slots_count == 0 || granted_per_s == 0 {
         return;
     }
-    // A slot runs one request at a time, so the whole is `slots / time a request`.
+    // A slot runs one request at a time, so the capacity is `slots / mean run time`.
     let longest_ms = 1_000.0 * f64::from(slots_count) / granted_per_s as f64;
     let mean_ms = mean_run_ms(board, service);
     match mean_ms {
@@ -107,7 +107,7 @@
     }
 }
 
-/// How long calls to a service take, as this node sees it.
+/// Mean run time of the calls to a service, as observed by this node.
 fn mean_run_ms(board: &Blackboard, service: &str) -> Option<f64> {
     let mut services = board.overload.services.iter();
     let service = services.find(|known| known.name == service)?;
--- a/crates/kumquatquay-core/src/configuration/ranks.rs
+++ b/crates/kumquatquay-core/src/configuration/ranks.rs
@@ -1,4 +1,4 @@
-//! A node's place among those that share a duty.
+//! Ranks of a node, by which nodes share duties without coordination.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,38 +6,37 @@
 
 use crate::{Blackboard, Moment};
 
-/// Nodes of each data centre that follow the log.
+/// Number of nodes in each data centre that follow the log.
 ///
-/// Two may be cut off or gone before membership has noticed; the third still
-/// reads. Twenty data centres make 60 long polls on the log, where one a node
-/// would make 5,100.
+/// Two of them may be partitioned or dead without the membership's knowledge while the third still
+/// reads. Twenty data centres keep 60 long polls open at the log; one per node would be 5,100.
 const FOLLOWERS_COUNT: usize = 3;
 
-/// How often the places are worked out anew.
+/// Time between updates of the ranks.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A node's places by rendezvous hashing over the members that seem alive.
+/// Ranks of a node by rendezvous hashing over the members that are believed alive.
 ///
-/// Nothing is agreed on: a node that is wrong about the others takes a duty
-/// twice over, which is harmless. A node that is cut off from all others finds
-/// itself first and follows the log on its own.
+/// There is no consensus: a node with a wrong view of the members may perform a duty that another
+/// node performs, too, which is harmless. A node that is partitioned from all others has rank 0
+/// and follows the log itself.
 #[derive(Debug, Default)]
 pub(crate) struct Ranks {
-    /// Place in the data centre, from 0.
+    /// Rank among the members of the data centre, from 0.
     pub(super) rank_in_data_centre: usize,
-    /// Place among all members, from 0.
+    /// Rank among all members, from 0.
     pub(super) overall_rank: usize,
     refresh_at: Duration,
 }
 
 impl Ranks {
-    /// Whether this node is one of those that follow the log.
+    /// Whether this node is one of the followers of the log in its data centre.
     pub(super) fn is_follower(&self) -> bool {
         self.rank_in_data_centre < FOLLOWERS_COUNT
     }
 }
 
-/// Works out the places, if it is time to.
+/// Updates the ranks if [`REFRESH_INTERVAL`] has passed.
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment) {
     if now.monotonic < board.configuration.ranks.refresh_at {
         return;
@@ -60,7 +59,8 @@
     };
 }
 
-/// The weight of a node: a hash, so that the duty falls on any host alike.
+/// The rendezvous weight of a node: a hash of its address, which spreads duties evenly over the
+/// hosts.
 fn weight(control: SocketAddr) -> (u64, SocketAddr) {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
+++ b/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
@@ -1,4 +1,4 @@
-//! When the state is appended again, because the log forgets.
+//! Schedule of the snapshots that are appended to the log before its older records expire.
 
 use std::time::Duration;
 
@@ -7,55 +7,58 @@
 use super::configuration_table::AppendPurpose;
 use crate::{Blackboard, Counter, LogRecord, Moment, Note, Output};
 
-/// The longest time between two snapshots, if the log keeps records for at
-/// least three times as long.
+/// Longest time between two snapshots. It applies if the log keeps records for at least three times
+/// as long.
 const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
 
-/// Share of the time that the log was seen to keep records, after which the
-/// state is appended again: two attempts may fail before it is too late.
+/// A snapshot is appended after the observed retention of the log divided by this, so that two
+/// attempts may fail before the last snapshot expires.
 const RETENTION_DIVISOR: u32 = 3;
 
-/// How much later the next node in rank appends a snapshot that is due.
+/// Delay per rank of a node before it appends a snapshot that is due.
 const STAGGER: Duration = Duration::from_secs(30);
 
-/// The same once the log can't rebuild the state any more.
+/// Delay per rank once the state can no longer be rebuilt from the log.
 const URGENT_STAGGER: Duration = Duration::from_secs(2);
 
-/// Nodes in rank beyond which the stagger does not grow.
+/// Rank beyond which the delay no longer grows.
 const STAGGER_LIMIT_COUNT: usize = 60;
 
-/// Time until this node tries again.
+/// Time after an append of a snapshot until this node retries it if it was not read back.
 const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How often the schedule is looked at.
+/// Time between checks whether a snapshot is due.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Snapshots of the stream.
+/// State of the snapshot schedule.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotSchedule {
-    /// The last one that was read.
+    /// The latest snapshot that was read from the stream.
     last: Option<SeenSnapshot>,
-    /// Since when the log alone can't rebuild the state.
+    /// Since when the state can't be rebuilt from the log alone.
     urgent_since: Option<Duration>,
-    /// Since when the state could have been appended.
+    /// When this node was first able to append a snapshot.
     ready_since: Option<Duration>,
     retry_at: Duration,
     check_at: Duration,
-    /// The shortest time after which a record was seen to be gone.
+    /// Observed retention of the log: the least age at which a record was found to be expired.
     retention: Option<Duration>,
 }
 
-/// A snapshot in the stream.
+/// A snapshot that was read from the stream.
 #[derive(Clone, Copy, Debug)]
 struct SeenSnapshot {
     offset: LogOffset,
     through: LogOffset,
     appended_unix_ms: u64,
-    /// When it was appended, by this node's monotonic clock.
+    /// When it was appended, on this node's monotonic clock.
     at: Duration,
 }
 
-/// Takes note of a snapshot in the stream.
+/// Records a snapshot that was read from the stream.
+///
+/// Ignores it if an earlier one covers more of the stream, or if it claims to cover its own offset
+/// or later ones.
 pub(super) fn on_snapshot_read(
     board: &mut Blackboard,
     now: Moment,
@@ -76,7 +79,7 @@
     });
 }
 
-/// The log came back from a copy, which may lack the last snapshot.
+/// Forgets the last snapshot after the log was restored from a backup, which may lack it.
 pub(super) fn on_log_restored(schedule: &mut SnapshotSchedule) {
     schedule.last = None;
 }
@@ -92,7 +95,7 @@
     }
 }
 
-/// Learns how long the log keeps records from the youngest one seen to be gone.
+/// Derives the retention of the log from the youngest record known to have expired.
 fn update_retention(board: &mut Blackboard, now: Moment) {
     let configuration = &mut board.configuration;
     let oldest_offset = configuration.reader.oldest_offset;
@@ -144,7 +147,7 @@
     }
 }
 
-/// Whether a node that knows nothing could rebuild the state from the log.
+/// Whether a node without a configuration could rebuild the state from the log alone.
 fn can_rebuild(last: Option<SeenSnapshot>, oldest_offset: LogOffset) -> bool {
     let is_complete = oldest_offset == 0;
     let bridges =
@@ -167,7 +170,7 @@
         .counters
         .increment(Counter::ConfigurationSnapshotsAppended);
     let detail = format!(
-        "the state is appended to the log again, {} bytes",
+        "appending a snapshot of the configuration to the log, {} bytes",
         record.len()
     );
     out.push(Output::Note(Note::info("configuration_snapshot", detail)));
--- a/crates/kumquatquay-core/src/configuration/start_over.rs
+++ b/crates/kumquatquay-core/src/configuration/start_over.rs
@@ -1,16 +1,15 @@
-//! The way on when what was in force is lost.
+//! Restart of the configuration after its history in the log was lost.
 
 use kumquatquay_wire::{ConfigurationRecord, ConfigurationSnapshot, OperatorReply};
 
 use super::{configuration_table::AppendPurpose, log_reader::LogFault};
 use crate::{Blackboard, Note, Output, Severity};
 
-/// Appends what this node has as the state at the end of the stream.
+/// Appends a snapshot of this node's state as the state at the end of the stream.
 ///
-/// Only where the log has forgotten changes that neither a snapshot nor another
-/// node makes up for: nodes with a state that reaches further, or with a higher
-/// version, never take it, so nothing that anybody knows to be in force is
-/// undone by it.
+/// This is allowed only if records have expired that neither a snapshot nor another node replaces.
+/// Nodes with a later state or a higher version never adopt the snapshot, so it undoes no change
+/// that any node knows to be in force.
 pub(super) fn start_over(board: &mut Blackboard, out: &mut Vec<Output>) -> OperatorReply {
     let reader = &board.configuration.reader;
     if !matches!(reader.fault, Some(LogFault::HistoryLost { .. })) {
@@ -40,7 +39,9 @@
         stream: String::from(ConfigurationRecord::STREAM),
         record,
     });
-    let detail = format!("an operator starts the configuration over with {intents_count} entries");
+    let detail = format!(
+        "an operator restarts the configuration from the {intents_count} entries of this node"
+    );
     out.push(Output::Note(Note::new(
         Severity::Warn,
         "configuration_starts_over",
--- a/crates/kumquatquay-core/src/configuration/status.rs
+++ b/crates/kumquatquay-core/src/configuration/status.rs
@@ -1,4 +1,4 @@
-//! Where a version is in force, as far as this node has heard.
+//! Where a version is in force, as far as this node knows.
 
 use std::net::SocketAddr;
 
@@ -10,12 +10,16 @@
 use super::peer_fetch;
 use crate::{Blackboard, Moment, Output};
 
-/// Nodes that one status asks for their version. Gossip brings it too, but on a
-/// node's turn only; an operator who waits asks again and again.
+/// Limit of the nodes that one status command asks for their versions.
+///
+/// Gossip reports versions, too, but only when a node gossips with this one; while an operator
+/// waits for a version, the command is repeated.
 const QUESTIONS_LIMIT_COUNT: usize = 32;
 
-/// Says where a version is in force, and asks some of the nodes that are not
-/// known to have it, so that the next status knows better.
+/// Reports where a version is in force.
+///
+/// Also asks some of the nodes that are not known to have it, so that the next status is more
+/// complete.
 pub(super) fn status(
     board: &mut Blackboard,
     now: Moment,
