--- a/crates/kumquatquay-core/src/output/mod.rs
+++ b/crates/kumquatquay-core/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! What a node tells its host to do.
+//! Outputs: actions that a node requests of its host.
 
 mod call_output;
 mod note;
@@ -18,46 +18,46 @@
 
 use crate::{AppendId, AttemptId, CallId, ReadId, WorkId};
 
-/// One thing to do.
+/// An action that the host has to carry out.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send an attempt of a call to a node.
     StartAttempt(StartAttempt),
-    /// Give up an attempt; its answer is not wanted any more.
+    /// Cancel an attempt, whose answer is no longer needed.
     CancelAttempt {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Answer a call.
+    /// End a call with an answer or a refusal.
     FinishCall {
         /// The call.
         call: CallId,
-        /// How.
+        /// How the call ends.
         ending: CallEnding,
     },
     /// Answer a request for an operation id.
     OperationIssued(OperationIssued),
-    /// Hand a piece of work to the backend server.
+    /// Send a piece of work to the backend server.
     RunWork(RunWork),
-    /// Refuse a piece of work that was never handed over.
+    /// Refuse a piece of work that was not sent to the backend server.
     RefuseWork {
         /// The work.
         work: WorkId,
-        /// Why.
+        /// The refusal.
         refusal: Refusal,
-        /// Goes with the answer.
+        /// Context to send with the answer.
         context: AnswerContext,
     },
-    /// Pass the backend server's answer on.
+    /// Forward the answer of the backend server, or report the failure of the work.
     AnswerWork {
         /// The work.
         work: WorkId,
-        /// Goes with the answer.
+        /// Context to send with the answer.
         context: AnswerContext,
     },
-    /// Tell the backend server to give up a piece of work.
+    /// Cancel a piece of work at the backend server.
     CancelWork {
         /// The work.
         work: WorkId,
@@ -69,7 +69,7 @@
         /// The datagram.
         datagram: Datagram,
     },
-    /// Ask another node for bulk state over TCP.
+    /// Ask another node for state over TCP.
     BulkAsk {
         /// Control address of the other node.
         to: SocketAddr,
@@ -78,14 +78,14 @@
     },
     /// Answer a bulk question.
     BulkAnswer {
-        /// From [`BulkInput::Asked`](crate::BulkInput::Asked).
+        /// Id of the exchange, from [`BulkInput::Asked`](crate::BulkInput::Asked).
         exchange: u64,
         /// The answer; the host authenticates it.
         answer: Vec<u8>,
     },
     /// Append a record to a stream of the platform's log.
     Append {
-        /// Names the append in its answer.
+        /// Id of the append, for its answer.
         append: AppendId,
         /// The stream.
         stream: StreamName,
@@ -94,23 +94,23 @@
     },
     /// Read a stream of the platform's log.
     Read {
-        /// Names the read in its answer.
+        /// Id of the read, for its answer.
         read: ReadId,
         /// The stream.
         stream: StreamName,
-        /// The first offset wanted.
+        /// The first offset to read.
         from: LogOffset,
-        /// How long the log may wait for a new record.
+        /// How long the log may hold the read until there is a new record (long poll).
         wait: Duration,
     },
-    /// Stop; answers [`Input::Stopping`](crate::Input::Stopping).
+    /// Stop now; answers [`Input::Stopping`](crate::Input::Stopping).
     StopNow {
-        /// Calls and work that are still under way since the grace ran out;
+        /// Calls and work that were still under way when the grace period ended and are aborted;
         /// 0 after a clean stop.
         aborted_count: usize,
     },
-    /// Answer an operator.
+    /// Answer an operator's command.
     Operator(OperatorOutput),
-    /// Write a line to the node's log.
+    /// Write a line to the log of the node's process.
     Note(Note),
 }
--- a/crates/kumquatquay-core/src/output/note.rs
+++ b/crates/kumquatquay-core/src/output/note.rs
@@ -1,47 +1,47 @@
-//! Lines for a node's log.
+//! Lines for the log of the node's process.
 
 use derive_more::Display;
 
-/// How much a line matters to an operator.
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Severity {
-    /// For following what happens in detail.
+    /// Details for tracing what the node does.
     #[display("debug")]
     Debug,
-    /// A change worth knowing.
+    /// A normal event that operators may want to know of.
     #[display("info")]
     Info,
-    /// Something is wrong and the node copes.
+    /// A fault that the node handles by itself.
     #[display("warn")]
     Warn,
-    /// Something is wrong and a person should look.
+    /// A fault that an operator should look into.
     #[display("error")]
     Error,
 }
 
-/// One line of the log.
+/// A line for the log of the node's process; not a record of the platform's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// How much it matters.
+    /// Severity of the event.
     pub severity: Severity,
-    /// Kind of event, in snake case; stable, for searching.
+    /// Name of the event, in snake case; stable, so that tools can search for it.
     pub event: &'static str,
-    /// What happened, in a sentence.
+    /// Description of the event, as free text.
     pub detail: String,
 }
 
 impl Note {
-    /// A line on a change worth knowing.
+    /// Creates a line of [`Severity::Info`].
     pub fn info(event: &'static str, detail: impl Into<String>) -> Self {
         Self::new(Severity::Info, event, detail)
     }
 
-    /// A line on something wrong that the node copes with.
+    /// Creates a line of [`Severity::Warn`].
     pub fn warn(event: &'static str, detail: impl Into<String>) -> Self {
         Self::new(Severity::Warn, event, detail)
     }
 
-    /// A line of any severity.
+    /// Creates a line.
     pub fn new(severity: Severity, event: &'static str, detail: impl Into<String>) -> Self {
         Self {
             severity,
--- a/crates/kumquatquay-core/src/output/operator_output.rs
+++ b/crates/kumquatquay-core/src/output/operator_output.rs
@@ -7,7 +7,7 @@
 /// Answer to an [`OperatorInput`](crate::OperatorInput).
 #[derive(Clone, Debug)]
 pub struct OperatorOutput {
-    /// Repeats the request's id.
+    /// Id of the command that is answered.
     pub request: OperatorRequestId,
     /// The answer.
     pub reply: OperatorReply,
--- a/crates/kumquatquay-core/src/output/work_output.rs
+++ b/crates/kumquatquay-core/src/output/work_output.rs
@@ -6,17 +6,17 @@
 
 use crate::WorkId;
 
-/// A piece of work to hand to the backend server.
+/// A piece of work that the host has to send to the backend server.
 #[derive(Clone, Debug)]
 pub struct RunWork {
     /// The work.
     pub work: WorkId,
-    /// Goes to the backend server in `tracestate`.
+    /// Ledger token, sent to the backend server in `tracestate`.
     pub token: LedgerToken,
-    /// Goes to the backend server in `traceparent`.
+    /// Trace id, sent to the backend server in `traceparent`.
     pub trace: TraceId,
-    /// Whether it may be given up once it was handed over.
+    /// Whether it may be cancelled after it was sent to the backend server.
     pub is_idempotent: bool,
-    /// Time that the backend server has.
+    /// Time-out for the backend server.
     pub timeout: Duration,
 }
