--- a/crates/kumquatquay-core/tests/routed/fleet_freshness.rs
+++ b/crates/kumquatquay-core/tests/routed/fleet_freshness.rs
@@ -254,7 +254,8 @@
 proofs_stay_fresh! {
     without_faults: NO_FAULTS;
     in_a_fleet_without_calls: Scene { has_calls: false, ..NO_FAULTS };
-    while_a_third_of_the_nodes_with_all_readers_gets_no_answers: Scene { unanswered_count: 26, ..NO_FAULTS };
+    while_a_third_of_the_nodes_with_all_readers_gets_no_answers:
+        Scene { unanswered_count: 26, ..NO_FAULTS };
     while_a_third_gets_no_answers_and_there_are_no_calls:
         Scene { unanswered_count: 26, has_calls: false, ..NO_FAULTS };
     while_some_nodes_are_isolated: Scene { isolated_count: 20, ..NO_FAULTS };
--- a/crates/kumquatquay-core/tests/routed/log_read.rs
+++ b/crates/kumquatquay-core/tests/routed/log_read.rs
@@ -1,4 +1,7 @@
 //! Tests of reads of a topic whose store is restored from backups, in all orders of events.
+//!
+//! A reader that ignored or mixed eras would miss records for good, or report a complete read
+//! without them.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +15,7 @@
 const FIRST_COUNT: u32 = 3;
 const PAGE_COUNT: usize = 2;
 
-/// What happens to the store.
+/// Event at the store.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// A record is appended.
--- a/crates/kumquatquay-core/tests/routed/register_bootstrap.rs
+++ b/crates/kumquatquay-core/tests/routed/register_bootstrap.rs
@@ -109,7 +109,7 @@
         while now < until {
             self.back_up_and_restore(now);
             for host in 0..self.hosts.len() {
-                self.act(now, host);
+                self.advance(now, host);
             }
             now += at_ms(1);
         }
@@ -144,7 +144,7 @@
         firsts.map(calls_in_second).max().unwrap_or_default()
     }
 
-    fn act(&mut self, now: Duration, host: usize) {
+    fn advance(&mut self, now: Duration, host: usize) {
         if self.hosts[host]
             .learns_at
             .take_if(|learns_at| *learns_at <= now)
--- a/crates/kumquatquay-core/tests/routed/request_pipeline.rs
+++ b/crates/kumquatquay-core/tests/routed/request_pipeline.rs
@@ -111,7 +111,10 @@
                 pipeline.advance_to(*kind);
                 started_to = started_to.max(index + 1);
             }
-            while started_to < kinds.len() && reads_ahead.next() == Some(true) && pipeline.can_read_ahead(0) {
+            while started_to < kinds.len()
+                && reads_ahead.next() == Some(true)
+                && pipeline.can_read_ahead(0)
+            {
                 if !pipeline.may_start(kinds[started_to]) {
                     break;
                 }
--- a/crates/kumquatquay-core/tests/routed/store_poller.rs
+++ b/crates/kumquatquay-core/tests/routed/store_poller.rs
@@ -1,6 +1,6 @@
 //! Tests of how soon a fleet has the newest configuration after a disturbance of the store.
 //!
-//! They guard against a synchronization of reads: after the store had been unresponsive for 5 s,
+//! They guard against reads that all nodes start at the same time. After the store had been unresponsive for 5 s,
 //! confirmed configurations weren't in force on any node for 4 s, and calls went to destinations
 //! that only older versions allowed. All nodes had received the same record, started their next
 //! reads at the same time, timed out at the same time, and started new ones while the store was
@@ -335,7 +335,12 @@
         Scene { has_reports: false, duration_ms: 20_000, ..Scene::FLEET },
     after_rejections: Scene { fault: StoreFault::Rejecting, duration_ms: 9_000, ..Scene::FLEET },
     of_nodes_without_reports_after_rejections:
-        Scene { fault: StoreFault::Rejecting, has_reports: false, duration_ms: 9_000, ..Scene::FLEET },
+        Scene {
+            fault: StoreFault::Rejecting,
+            has_reports: false,
+            duration_ms: 9_000,
+            ..Scene::FLEET
+        },
     after_slow_answers: Scene { fault: StoreFault::Slow(at_ms(600)), ..Scene::FLEET },
     after_answers_later_than_the_timeout:
         Scene { fault: StoreFault::Slow(at_ms(3_000)), duration_ms: 9_000, ..Scene::FLEET },
