--- a/crates/kumquatquay-core/tests/routed/store_poller.rs
+++ b/crates/kumquatquay-core/tests/routed/store_poller.rs
@@ -1,13 +1,14 @@
 //! Tests of how soon a fleet has the newest configuration after a disturbance of the store.
 //!
-//! They guard against reads that all nodes start at the same time. After the store had been unresponsive for 5 s,
-//! confirmed configurations weren't in force on any node for 4 s, and calls went to destinations
-//! that only older versions allowed. All nodes had received the same record, started their next
-//! reads at the same time, timed out at the same time, and started new ones while the store was
-//! still unresponsive. A read that the store has, or gets, at that time is never answered, not even
-//! after the store's recovery. Each node waited for its own read as if the store held it, and no
-//! peer knew more. In the logs, the reads of all nodes ended 5.50 s apart, which is the time-out of
-//! a read, although a short call of the same nodes had been answered 3 s before.
+//! They guard against reads that all nodes start at the same time. After the store had been
+//! unresponsive for 5 s, confirmed configurations weren't in force on any node for 4 s, and
+//! calls went to destinations that only older versions allowed. All nodes had received the same
+//! record, started their next reads at the same time, timed out at the same time, and started
+//! new ones while the store was still unresponsive. A read that the store has, or gets, at that
+//! time is never answered, not even after the store's recovery. Each node waited for its own
+//! read as if the store held it, and no peer knew more. In the logs, the reads of all nodes
+//! ended 5.50 s apart, which is the time-out of a read, although a short call of the same nodes
+//! had been answered 3 s before.
 
 use std::time::Duration;
 
