--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -43,7 +43,7 @@
 );
 
 /// Queues or refuses work that arrived from another node or from this one, and runs queued work
-/// while slots are free.
+/// up to the limit.
 pub(super) fn on_arrived(
     board: &mut Blackboard,
     now: Moment,
@@ -160,7 +160,8 @@
     }
 }
 
-/// Forwards queued work to the backend server, the most important first, while slots are free.
+/// Forwards queued work to the backend server, the most important first, up to the concurrency
+/// limit, or up to the number of its connections if the policy disables the gate.
 pub(super) fn run_waiting(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     while board.gate.running.len() < running_limit_count(board) {
         let Some((id, work)) = board.gate.queue.pop() else {
