--- a/crates/kumquatquay-core/src/configuration/classification_table.rs
+++ b/crates/kumquatquay-core/src/configuration/classification_table.rs
@@ -42,7 +42,7 @@
         match intent {
             Some(intent) => {
                 self.services
-                    .insert(service.clone(), CompiledIntent::of(intent));
+                    .insert(service.clone(), CompiledIntent::compile(intent));
             }
             None => {
                 self.services.remove(service);
@@ -74,7 +74,7 @@
 }
 
 impl CompiledIntent {
-    fn of(intent: &Intent) -> Self {
+    fn compile(intent: &Intent) -> Self {
         let mut compiled = Self::default();
         for (rank, priority) in intent.priorities.iter().enumerate() {
             let classes = match &priority.caller {
@@ -111,8 +111,8 @@
         Some(route) => route.matches(method, path),
         None => true,
     };
-    let found = classes.iter().find(matches);
-    found.map_or(DEFAULT_CLASS, |found| found.class)
+    let first_match = classes.iter().find(matches);
+    first_match.map_or(DEFAULT_CLASS, |first_match| first_match.class)
 }
 
 fn default_classification(method: &str) -> Classification {
--- a/crates/kumquatquay-core/src/configuration/configuration_table.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_table.rs
@@ -24,7 +24,7 @@
     /// Reads of the configuration stream.
     pub(super) reader: LogReader,
     /// Fetches from other nodes.
-    pub(super) peers: PeerFetch,
+    pub(super) peer_fetch: PeerFetch,
     /// Snapshots appended to the stream.
     pub(super) snapshots: SnapshotSchedule,
     /// Confirmations under way, by change.
--- a/crates/kumquatquay-core/src/configuration/confirmation.rs
+++ b/crates/kumquatquay-core/src/configuration/confirmation.rs
@@ -257,9 +257,7 @@
     let message = if is_repeat {
         format!("this plan had been accepted already, as version {version}; nothing more was done")
     } else {
-        format!(
-            "accepted as version {version}; it is in force at this node and is being distributed"
-        )
+        format!("accepted as version {version}; it is in force at this node and spreads")
     };
     OperatorReply::Accepted {
         version,
--- a/crates/kumquatquay-core/src/configuration/controller.rs
+++ b/crates/kumquatquay-core/src/configuration/controller.rs
@@ -143,7 +143,7 @@
 ) {
     match find_plan(board, plan) {
         Ok(change) if change.intents.is_empty() => {
-            let message = "the plan has no changes; nothing was done";
+            let message = "the plan changes nothing; nothing was done";
             refuse(out, request, message);
         }
         Ok(change) => {
--- a/crates/kumquatquay-core/src/configuration/findings.rs
+++ b/crates/kumquatquay-core/src/configuration/findings.rs
@@ -14,13 +14,13 @@
 
 /// Names of services and callers that a node knows.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Names {
+pub(crate) struct KnownNames {
     pub(super) services: BTreeSet<ServiceName>,
     pub(super) callers: BTreeSet<CallerName>,
 }
 
-impl Names {
-    pub(super) fn known_to(board: &Blackboard) -> Self {
+impl KnownNames {
+    pub(super) fn of(board: &Blackboard) -> Self {
         let members = board.members.iter();
         let members = members.filter(|member| member.state != MemberState::Gone);
         let mut services: BTreeSet<ServiceName> = members
@@ -51,7 +51,11 @@
 }
 
 /// All mistakes in the edits, in the order of the edits.
-pub(super) fn check(edits: &[IntentEdit], names: &Names, allows_unknown: bool) -> Vec<Finding> {
+pub(super) fn check(
+    edits: &[IntentEdit],
+    names: &KnownNames,
+    allows_unknown: bool,
+) -> Vec<Finding> {
     let mut findings = Vec::new();
     if edits.is_empty() {
         findings.push(finding("plan", "names no service", None));
@@ -71,7 +75,7 @@
 
 fn check_service(
     edit: &IntentEdit,
-    names: &Names,
+    names: &KnownNames,
     allows_unknown: bool,
     findings: &mut Vec<Finding>,
 ) {
@@ -155,7 +159,7 @@
 /// Unknown callers in an intent whose names resemble a known one, each with that one.
 ///
 /// These are not findings, because an intent may name a caller that has yet to make its first call.
-pub(super) fn near_misses<'a>(intent: &'a Intent, names: &Names) -> Vec<(&'a str, String)> {
+pub(super) fn near_misses<'a>(intent: &'a Intent, names: &KnownNames) -> Vec<(&'a str, String)> {
     let protected = intent.priorities.iter();
     let protected = protected.filter_map(|priority| priority.caller.as_deref());
     let limited = intent.limits.iter().map(|limit| limit.caller.as_str());
--- a/crates/kumquatquay-core/src/configuration/log_reading.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reading.rs
@@ -74,7 +74,7 @@
     let may_read =
         board.settings.has_log && now.monotonic >= board.configuration.reader.next_read_at;
     if may_read && is_read_due(board, now) {
-        start(board, now, out);
+        start_read(board, now, out);
     }
 }
 
@@ -92,10 +92,10 @@
     let configuration = &board.configuration;
     let reader = &configuration.reader;
     if !configuration.is_established() {
-        return now.monotonic >= configuration.peers.started_at + PEER_FETCH_HEAD_START;
+        return now.monotonic >= configuration.peer_fetch.started_at + PEER_FETCH_HEAD_START;
     }
     let is_behind = configuration
-        .peers
+        .peer_fetch
         .behind_since
         .is_some_and(|since| now.monotonic >= since + PEER_FETCH_TIMEOUT);
     configuration.ranks.is_follower()
@@ -104,7 +104,7 @@
         || now.monotonic >= reader.poll_at
 }
 
-fn start(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn start_read(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let id = board.next_id();
     let spread_s = board.random.random_range(0..POLL_INTERVAL_S);
     let configuration = &mut board.configuration;
@@ -312,8 +312,8 @@
         return;
     };
     let mut records = answer.records;
-    let is_kept = answer.oldest_offset <= through;
-    if is_kept {
+    let is_in_log = answer.oldest_offset <= through;
+    if is_in_log {
         let Some(first) = records.first().filter(|first| first.offset == through) else {
             // The answer lacks the record although the log says that it keeps it; read again.
             board.configuration.reader.next_read_at = now.monotonic + MIN_RETRY_PAUSE;
--- a/crates/kumquatquay-core/src/configuration/peer_fetch.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_fetch.rs
@@ -31,31 +31,31 @@
     /// The node that was asked, and when the question times out.
     outstanding: Option<(SocketAddr, Duration)>,
     /// The node to ask next: it reported a later version while another question was outstanding.
-    next: Option<SocketAddr>,
+    next_node: Option<SocketAddr>,
     /// Earliest time of the next question to an arbitrary node.
-    ask_at: Duration,
+    ask_any_node_at: Duration,
     /// When this node first learnt of a version later than its own; `None` if it knows of none.
     pub(super) behind_since: Option<Duration>,
     /// Earliest time of the next question to another data centre.
     ask_other_data_centre_at: Duration,
     /// The latest version that other nodes have reported while this node was behind.
-    highest: Option<ConfigurationVersion>,
+    highest_version: Option<ConfigurationVersion>,
     /// Time of the first tick.
     pub(super) started_at: Duration,
     has_started: bool,
 }
 
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    let peers = &mut board.configuration.peers;
-    if !peers.has_started {
-        peers.has_started = true;
-        peers.started_at = now.monotonic;
+    let fetch = &mut board.configuration.peer_fetch;
+    if !fetch.has_started {
+        fetch.has_started = true;
+        fetch.started_at = now.monotonic;
     }
-    if peers
+    if fetch
         .outstanding
         .is_some_and(|(_, expires_at)| now.monotonic >= expires_at)
     {
-        peers.outstanding = None;
+        fetch.outstanding = None;
     }
     if !board.configuration.is_established() {
         ask_any_node(board, now, out);
@@ -74,20 +74,22 @@
     let is_log_unreachable = configuration.ranks.is_follower()
         && configuration.reader.failures_count >= FAILURES_TO_ASK_OTHER_DATA_CENTRE_COUNT
         && configuration.is_established();
-    let peers = &configuration.peers;
+    let fetch = &configuration.peer_fetch;
     if !is_log_unreachable
-        || peers.outstanding.is_some()
-        || now.monotonic < peers.ask_other_data_centre_at
+        || fetch.outstanding.is_some()
+        || now.monotonic < fetch.ask_other_data_centre_at
     {
         return;
     }
-    board.configuration.peers.ask_other_data_centre_at =
+    board.configuration.peer_fetch.ask_other_data_centre_at =
         now.monotonic + ASK_OTHER_DATA_CENTRE_INTERVAL;
     let own = board.settings.data_centre.clone();
     let members = board.members.iter();
-    let far = members.filter(|member| member.data_centre != own);
-    let far = far.map(|member| member.control).choose(&mut board.random);
-    if let Some(to) = far {
+    let remote = members.filter(|member| member.data_centre != own);
+    let remote = remote
+        .map(|member| member.control)
+        .choose(&mut board.random);
+    if let Some(to) = remote {
         ask(board, now, to, out);
     }
 }
@@ -100,20 +102,20 @@
     version: ConfigurationVersion,
     out: &mut Vec<Output>,
 ) {
-    let peers = &mut board.configuration.peers;
-    peers.behind_since.get_or_insert(now.monotonic);
-    peers.highest = peers.highest.max(Some(version));
-    match peers.outstanding {
+    let fetch = &mut board.configuration.peer_fetch;
+    fetch.behind_since.get_or_insert(now.monotonic);
+    fetch.highest_version = fetch.highest_version.max(Some(version));
+    match fetch.outstanding {
         Some((asked, _)) if asked == from => {}
-        Some(_) => peers.next = Some(from),
+        Some(_) => fetch.next_node = Some(from),
         None => ask(board, now, from, out),
     }
 }
 
 /// Asks a random node, preferably of the own data centre, or a seed if no node is known.
 pub(super) fn ask_any_node(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    let peers = &board.configuration.peers;
-    if peers.outstanding.is_some() || now.monotonic < peers.ask_at {
+    let fetch = &board.configuration.peer_fetch;
+    if fetch.outstanding.is_some() || now.monotonic < fetch.ask_any_node_at {
         return;
     }
     if let Some(to) = random_node(board) {
@@ -126,10 +128,10 @@
     let others = board.members.iter().filter(|member| {
         member.control != own.control && member.state != MemberState::Gone && !member.is_suspect
     });
-    let (near, far): (Vec<_>, Vec<_>) = others
+    let (local, remote): (Vec<_>, Vec<_>) = others
         .map(|member| (member.data_centre == own.data_centre, member.control))
-        .partition(|(is_near, _)| *is_near);
-    let known = if near.is_empty() { far } else { near };
+        .partition(|(is_local, _)| *is_local);
+    let known = if local.is_empty() { remote } else { local };
     let known = known.into_iter().map(|(_, control)| control);
     let seeds = board.settings.seeds.iter().copied();
     let seed = seeds
@@ -139,9 +141,9 @@
 }
 
 fn ask(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
-    let peers = &mut board.configuration.peers;
-    peers.outstanding = Some((to, now.monotonic + ANSWER_TIMEOUT));
-    peers.ask_at = now.monotonic + ASK_INTERVAL;
+    let fetch = &mut board.configuration.peer_fetch;
+    fetch.outstanding = Some((to, now.monotonic + ANSWER_TIMEOUT));
+    fetch.ask_any_node_at = now.monotonic + ASK_INTERVAL;
     let through = board.configuration.state.through();
     let question = ConfigurationQuestion {
         through,
@@ -226,7 +228,7 @@
         }
         return;
     }
-    board.configuration.peers.outstanding = None;
+    board.configuration.peer_fetch.outstanding = None;
     let is_applied = match answer {
         Ok(ConfigurationAnswer::Snapshot(snapshot)) => {
             in_force::adopt_snapshot(board, now, snapshot, out)
@@ -292,16 +294,16 @@
     from: SocketAddr,
     out: &mut Vec<Output>,
 ) {
-    let peers = &mut board.configuration.peers;
-    peers.outstanding.take_if(|(asked, _)| *asked == from);
+    let fetch = &mut board.configuration.peer_fetch;
+    fetch.outstanding.take_if(|(asked, _)| *asked == from);
     ask_next(board, now, out);
 }
 
 fn ask_next(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    let Some(next) = board.configuration.peers.next.take() else {
+    let Some(next) = board.configuration.peer_fetch.next_node.take() else {
         return;
     };
-    if board.configuration.peers.behind_since.is_some() {
+    if board.configuration.peer_fetch.behind_since.is_some() {
         ask(board, now, next, out);
     }
 }
@@ -310,9 +312,9 @@
 /// just read to the end of the log, which is authoritative.
 pub(super) fn clear_behind(board: &mut Blackboard, is_at_end_of_log: bool) {
     let version = board.configuration.version();
-    let peers = &mut board.configuration.peers;
-    if is_at_end_of_log || version >= peers.highest {
-        peers.behind_since = None;
-        peers.highest = None;
+    let fetch = &mut board.configuration.peer_fetch;
+    if is_at_end_of_log || version >= fetch.highest_version {
+        fetch.behind_since = None;
+        fetch.highest_version = None;
     }
 }
--- a/crates/kumquatquay-core/src/configuration/peer_versions.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_versions.rs
@@ -18,7 +18,7 @@
     /// The version in force at the node.
     pub(super) version: ConfigurationVersion,
     /// When it was reported, on the monotonic clock.
-    pub(super) at: Duration,
+    pub(super) reported_at: Duration,
 }
 
 /// The version that this node gossips; `None` if no change is in force.
@@ -43,11 +43,17 @@
 fn record(board: &mut Blackboard, now: Moment, from: SocketAddr, version: ConfigurationVersion) {
     let versions = &mut board.configuration.peer_versions;
     if versions.len() >= PEER_VERSIONS_LIMIT_COUNT && !versions.contains_key(&from) {
-        let oldest = versions.iter().min_by_key(|(_, peer)| peer.at);
+        let oldest = versions.iter().min_by_key(|(_, peer)| peer.reported_at);
         if let Some(control) = oldest.map(|(control, _)| *control) {
             versions.remove(&control);
         }
     }
-    let at = now.monotonic;
-    versions.insert(from, PeerVersion { version, at });
+    let reported_at = now.monotonic;
+    versions.insert(
+        from,
+        PeerVersion {
+            version,
+            reported_at,
+        },
+    );
 }
--- a/crates/kumquatquay-core/src/configuration/plan_table.rs
+++ b/crates/kumquatquay-core/src/configuration/plan_table.rs
@@ -35,7 +35,7 @@
         while self
             .plans
             .front()
-            .is_some_and(|(made, _)| *made + PLAN_LIFETIME < now)
+            .is_some_and(|(made_at, _)| *made_at + PLAN_LIFETIME < now)
         {
             self.plans.pop_front();
         }
--- a/crates/kumquatquay-core/src/configuration/plan_warnings.rs
+++ b/crates/kumquatquay-core/src/configuration/plan_warnings.rs
@@ -5,7 +5,7 @@
 use kumquatquay_wire::{Intent, IntentEdit};
 
 use super::{
-    findings::{self, Names},
+    findings::{self, KnownNames},
     planner::places,
 };
 use crate::Blackboard;
@@ -25,7 +25,7 @@
 }
 
 fn warn_of_near_misses(board: &Blackboard, intent: &Intent, warnings: &mut Vec<String>) {
-    for (caller, near) in findings::near_misses(intent, &Names::known_to(board)) {
+    for (caller, near) in findings::near_misses(intent, &KnownNames::of(board)) {
         warnings.push(format!(
             "{}: no caller {caller:?} was seen or named before; did you mean {near:?}?",
             intent.service
--- a/crates/kumquatquay-core/src/configuration/planner.rs
+++ b/crates/kumquatquay-core/src/configuration/planner.rs
@@ -10,7 +10,7 @@
 
 use super::{
     differences::differences,
-    findings::{self, Names},
+    findings::{self, KnownNames},
     plan_table::plan_id,
     plan_warnings,
 };
@@ -30,7 +30,7 @@
     edits: Vec<IntentEdit>,
     allows_unknown: bool,
 ) -> OperatorReply {
-    let findings = findings::check(&edits, &Names::known_to(board), allows_unknown);
+    let findings = findings::check(&edits, &KnownNames::of(board), allows_unknown);
     if !findings.is_empty() {
         return OperatorReply::Findings { findings };
     }
@@ -265,7 +265,7 @@
 /// The services and callers whose names this node knows, against which names in intents are
 /// checked.
 pub(super) fn names(board: &Blackboard) -> OperatorReply {
-    let names = Names::known_to(board);
+    let names = KnownNames::of(board);
     OperatorReply::Names {
         services: names.services.into_iter().collect(),
         callers: names.callers.into_iter().collect(),
--- a/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
+++ b/crates/kumquatquay-core/src/configuration/snapshot_schedule.rs
@@ -52,7 +52,7 @@
     through: LogOffset,
     appended_unix_ms: u64,
     /// When it was appended, on this node's monotonic clock.
-    at: Duration,
+    appended_at: Duration,
 }
 
 /// Records a snapshot that was read from the stream.
@@ -75,7 +75,7 @@
         offset: record.offset,
         through,
         appended_unix_ms: record.appended_unix_ms,
-        at: now.monotonic.saturating_sub(age),
+        appended_at: now.monotonic.saturating_sub(age),
     });
 }
 
@@ -134,7 +134,7 @@
     if let Some(urgent_since) = schedule.urgent_since {
         return now.monotonic >= urgent_since + URGENT_STAGGER * rank;
     }
-    let since = schedule.last.map_or(ready_since, |last| last.at);
+    let since = schedule.last.map_or(ready_since, |last| last.appended_at);
     now.monotonic >= since + schedule.interval() + STAGGER * rank
 }
 
--- a/crates/kumquatquay-core/src/configuration/status.rs
+++ b/crates/kumquatquay-core/src/configuration/status.rs
@@ -73,18 +73,18 @@
     if member.control == board.settings.control {
         return board.configuration.version();
     }
-    let heard = board.configuration.peer_versions.get(&member.control);
-    heard.map(|heard| heard.version)
+    let report = board.configuration.peer_versions.get(&member.control);
+    report.map(|report| report.version)
 }
 
 fn laggard(board: &Blackboard, now: Moment, member: &MemberRecord) -> Laggard {
-    let heard = board.configuration.peer_versions.get(&member.control);
+    let report = board.configuration.peer_versions.get(&member.control);
     let ms_since = |at| now.monotonic.saturating_sub(at).as_millis() as u64;
     Laggard {
         control: member.control.to_string(),
         data_centre: member.data_centre.clone(),
         version: known_version(board, member),
-        heard_ms_ago: heard.map(|heard| ms_since(heard.at)),
+        heard_ms_ago: report.map(|report| ms_since(report.reported_at)),
         behind_ms: ms_since(board.configuration.in_force_since),
         is_unreachable: member.is_suspect,
     }
