--- a/crates/kumquatquay-core/src/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/src/routed/entry_admission.rs
@@ -8,7 +8,7 @@
 
 use kumquatquay_wire::{
     ServiceName,
-    routed::{GateReport, Priority, RouteNews, ServiceDemand, ServicePressure},
+    routed::{GateReport, Priority, RouteEstimate, ServiceDemand, ServicePressure},
 };
 
 use super::{
@@ -131,7 +131,7 @@
         route: &str,
         service: &str,
         gate: SocketAddr,
-        update: RouteNews,
+        update: RouteEstimate,
     ) -> bool {
         if !is_plausible(&update, |service| self.reported_run_time_s(now, service)) {
             return false;
@@ -157,14 +157,15 @@
     /// Calls that one run of a route at a service causes at each service, its own run included.
     pub fn demands(&self, now: Duration, route: &str, service: &str) -> &[ServiceDemand] {
         self.update_at(now, route, service)
-            .map_or(&[], |update| &update.leads_to)
+            .map_or(&[], |update| &update.demands)
     }
 
     /// Mean of [`demands`](Self::demands) over the services among which a route is split.
     pub fn all_demands(&self, now: Duration, route: &str) -> Vec<ServiceDemand> {
-        let updates: Vec<&RouteNews> = self.updates(now, route).map(|(_, update)| update).collect();
+        let updates: Vec<&RouteEstimate> =
+            self.updates(now, route).map(|(_, update)| update).collect();
         let share = 1.0 / updates.len().max(1) as f32;
-        let all = updates.into_iter().flat_map(|update| &update.leads_to);
+        let all = updates.into_iter().flat_map(|update| &update.demands);
         all.map(|demand| demand.scaled(share)).collect()
     }
 
@@ -201,8 +202,8 @@
     }
 
     /// Levels of these services to report to other nodes; expired ones are left out.
-    pub fn pressures(&self, now: Duration, leads_to: &[ServiceDemand]) -> Vec<ServicePressure> {
-        let pressures = leads_to.iter().filter_map(|demand| {
+    pub fn pressures(&self, now: Duration, demands: &[ServiceDemand]) -> Vec<ServicePressure> {
+        let pressures = demands.iter().filter_map(|demand| {
             let service = &demand.service;
             let report = self.services.get(service)?.current(now)?;
             let age = now.saturating_sub(report.reported_at);
@@ -240,7 +241,7 @@
         let Some(update) = update.filter(|update| update.is_from_outside) else {
             return Ok(());
         };
-        let reached = update.leads_to.iter();
+        let reached = update.demands.iter();
         let reached = reached.filter(|demand| demand.calls >= MIN_CALLS_COUNT);
         for demand in reached {
             self.admit_at(now, &demand.service, request, route_priorities)?;
@@ -319,7 +320,7 @@
     fn request_work_s(&self, now: Duration, route: &RouteState, service: &str) -> f64 {
         let updates = route.updates.values().filter_map(|pooled| pooled.get(now));
         let outside = updates.filter(|update| update.is_from_outside);
-        let reached = outside.flat_map(|update| &update.leads_to);
+        let reached = outside.flat_map(|update| &update.demands);
         let demands = reached.filter(|demand| demand.service == service);
         demands.map(|demand| self.work_s(now, demand)).sum()
     }
@@ -328,13 +329,13 @@
         &self,
         now: Duration,
         route: &str,
-    ) -> impl Iterator<Item = (&ServiceName, &RouteNews)> {
+    ) -> impl Iterator<Item = (&ServiceName, &RouteEstimate)> {
         let routes = self.routes.get(route).into_iter();
         let updates = routes.flat_map(|route| &route.updates);
         updates.filter_map(move |(service, pooled)| Some((service, pooled.get(now)?)))
     }
 
-    fn update_at(&self, now: Duration, route: &str, service: &str) -> Option<&RouteNews> {
+    fn update_at(&self, now: Duration, route: &str, service: &str) -> Option<&RouteEstimate> {
         self.routes.get(route)?.updates.get(service)?.get(now)
     }
 }
--- a/crates/kumquatquay-core/src/routed/pooled_estimates.rs
+++ b/crates/kumquatquay-core/src/routed/pooled_estimates.rs
@@ -8,7 +8,7 @@
 
 use kumquatquay_wire::{
     ServiceName,
-    routed::{RouteNews, ServiceDemand},
+    routed::{RouteEstimate, ServiceDemand},
 };
 
 /// Time for which the estimate of a gate counts.
@@ -32,10 +32,10 @@
 ///
 /// `mean_work_s` returns the mean run time of a call at a service, if it is known.
 pub(super) fn is_plausible(
-    estimate: &RouteNews,
+    estimate: &RouteEstimate,
     mean_work_s: impl Fn(&str) -> Option<f64>,
 ) -> bool {
-    let are_few = estimate.leads_to.len() <= MAX_SERVICES_COUNT;
+    let are_few = estimate.demands.len() <= MAX_SERVICES_COUNT;
     let is_valid = |demand: &ServiceDemand| {
         let is_count = (0.0..=MAX_CALLS_COUNT).contains(&demand.calls);
         let max_s = mean_work_s(&demand.service).map_or(f64::INFINITY, |mean_s| {
@@ -43,7 +43,7 @@
         });
         is_count && f64::from(demand.work_us) / 1e6 <= max_s
     };
-    are_few && estimate.leads_to.iter().all(is_valid)
+    are_few && estimate.demands.iter().all(is_valid)
 }
 
 /// Estimates that the gates of one service have reported for a route.
@@ -55,19 +55,19 @@
 #[derive(Debug, Default)]
 pub(super) struct PooledEstimates {
     gates: BTreeMap<SocketAddr, GateEstimate>,
-    pooled: RouteNews,
+    pooled: RouteEstimate,
     reported_at: Duration,
 }
 
 #[derive(Debug)]
 struct GateEstimate {
-    estimate: RouteNews,
+    estimate: RouteEstimate,
     reported_at: Duration,
 }
 
 impl PooledEstimates {
     /// The pooled estimate; `None` if no gate has reported one lately.
-    pub(super) fn get(&self, now: Duration) -> Option<&RouteNews> {
+    pub(super) fn get(&self, now: Duration) -> Option<&RouteEstimate> {
         (!self.gates.is_empty() && now < self.reported_at + EXPIRY).then_some(&self.pooled)
     }
 
@@ -75,7 +75,7 @@
     ///
     /// A gate that has just started has few samples: its estimate doesn't replace an earlier,
     /// settled one of its own, and doesn't count while any gate has a settled one.
-    pub(super) fn record(&mut self, now: Duration, gate: SocketAddr, estimate: RouteNews) {
+    pub(super) fn record(&mut self, now: Duration, gate: SocketAddr, estimate: RouteEstimate) {
         self.gates.retain(|_, gate| now < gate.reported_at + EXPIRY);
         let known = self.gates.get(&gate);
         if known.is_some_and(|known| known.estimate.is_settled) && !estimate.is_settled {
@@ -97,10 +97,10 @@
         self.pooled = self.pool();
     }
 
-    fn pool(&self) -> RouteNews {
+    fn pool(&self) -> RouteEstimate {
         let is_settled = self.gates.values().any(|gate| gate.estimate.is_settled);
         let counted = self.gates.values().map(|gate| &gate.estimate);
-        let counted: Vec<&RouteNews> = counted
+        let counted: Vec<&RouteEstimate> = counted
             .filter(|estimate| estimate.is_settled == is_settled)
             .collect();
         let outside_count = counted
@@ -109,16 +109,16 @@
             .count();
         let services: BTreeSet<&ServiceName> = counted
             .iter()
-            .flat_map(|estimate| &estimate.leads_to)
+            .flat_map(|estimate| &estimate.demands)
             .map(|demand| &demand.service)
             .collect();
-        let leads_to = services
+        let demands = services
             .into_iter()
             .map(|service| pool_demand(service, &counted, is_settled));
-        RouteNews {
+        RouteEstimate {
             is_from_outside: outside_count * 2 >= counted.len().max(1),
             is_settled,
-            leads_to: leads_to.filter(|demand| demand.calls > 0.0).collect(),
+            demands: demands.filter(|demand| demand.calls > 0.0).collect(),
         }
     }
 }
@@ -127,7 +127,11 @@
 ///
 /// The run time of a call is pooled separately from the number of calls: it is measured at the
 /// service, so it is known even while the number of calls is a guess.
-fn pool_demand(service: &ServiceName, estimates: &[&RouteNews], is_settled: bool) -> ServiceDemand {
+fn pool_demand(
+    service: &ServiceName,
+    estimates: &[&RouteEstimate],
+    is_settled: bool,
+) -> ServiceDemand {
     let demands = estimates
         .iter()
         .map(|estimate| demand_at(estimate, service));
@@ -155,9 +159,9 @@
     }
 }
 
-fn demand_at<'a>(estimate: &'a RouteNews, service: &str) -> Option<&'a ServiceDemand> {
+fn demand_at<'a>(estimate: &'a RouteEstimate, service: &str) -> Option<&'a ServiceDemand> {
     estimate
-        .leads_to
+        .demands
         .iter()
         .find(|demand| demand.service == service)
 }
--- a/crates/kumquatquay-core/tests/routed/call_mesh.rs
+++ b/crates/kumquatquay-core/tests/routed/call_mesh.rs
@@ -13,7 +13,7 @@
 };
 use kumquatquay_wire::{
     BackendLife,
-    routed::{NotRunReason, Priority, RouteNews, ServiceDemand},
+    routed::{NotRunReason, Priority, RouteEstimate, ServiceDemand},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -434,10 +434,10 @@
             calls: 1.0,
             work_us: run_time.as_micros() as u32,
         };
-        let update = RouteNews {
+        let update = RouteEstimate {
             is_from_outside: true,
             is_settled: true,
-            leads_to: vec![one.scaled(kind.calls_count as f32)],
+            demands: vec![one.scaled(kind.calls_count as f32)],
         };
         let is_plausible =
             self.entries[call.entry].on_route_update(now, kind.route, kind.route, address, update);
--- a/crates/kumquatquay-core/tests/routed/entry_admission.rs
+++ b/crates/kumquatquay-core/tests/routed/entry_admission.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use kumquatquay_core::routed::{EntryAdmission, EntryRequest, Shortage};
-use kumquatquay_wire::routed::{GateReport, RouteNews, ServiceDemand};
+use kumquatquay_wire::routed::{GateReport, RouteEstimate, ServiceDemand};
 use quickcheck::quickcheck;
 
 use crate::at_ms;
@@ -33,14 +33,14 @@
 fn admission() -> EntryAdmission {
     let mut admission = EntryAdmission::default();
     for (route, service, _, is_from_outside) in ROUTES {
-        let mut leads_to = vec![demand(service, 1.0)];
+        let mut demands = vec![demand(service, 1.0)];
         if route == "history" || route == "settle" {
-            leads_to.push(demand("register", 8.0));
+            demands.push(demand("register", 8.0));
         }
-        let update = RouteNews {
+        let update = RouteEstimate {
             is_from_outside,
             is_settled: true,
-            leads_to,
+            demands,
         };
         admission.on_route_update(at_ms(0), route, service, gate(1), update);
     }
@@ -225,10 +225,10 @@
 fn an_update_of_a_restarted_node_does_not_replace_its_settled_one() {
     let mut admission = admission();
     offer(&mut admission);
-    let update = RouteNews {
+    let update = RouteEstimate {
         is_from_outside: false,
         is_settled: false,
-        leads_to: vec![demand("archive", 1.0)],
+        demands: vec![demand("archive", 1.0)],
     };
     admission.on_route_update(at_ms(100), "history", "archive", gate(1), update);
     report_level(&mut admission, 100, 1, 0.02);
@@ -237,21 +237,21 @@
 
 /// A gate of the survey service reports the calls that an upload makes at the register.
 fn report_uploads(admission: &mut EntryAdmission, number: u16, calls: f32, is_settled: bool) {
-    let mut leads_to = vec![demand("survey", 1.0)];
+    let mut demands = vec![demand("survey", 1.0)];
     if calls > 0.0 {
-        leads_to.push(demand("register", calls));
+        demands.push(demand("register", calls));
     }
-    let update = RouteNews {
+    let update = RouteEstimate {
         is_from_outside: true,
         is_settled,
-        leads_to,
+        demands,
     };
     admission.on_route_update(at_ms(0), "upload", "survey", gate(number), update);
 }
 
 fn calls_of_uploads(admission: &EntryAdmission) -> f32 {
-    let leads_to = admission.demands(at_ms(1), "upload", "survey").iter();
-    let calls = leads_to.filter(|demand| demand.service == "register");
+    let demands = admission.demands(at_ms(1), "upload", "survey").iter();
+    let calls = demands.filter(|demand| demand.service == "register");
     calls.map(|demand| demand.calls).sum()
 }
 
@@ -333,10 +333,10 @@
 fn an_update_with_impossible_counts_is_ignored() {
     let mut admission = admission();
     for calls in [f32::NAN, f32::INFINITY, -1.0, 1e30] {
-        let update = RouteNews {
+        let update = RouteEstimate {
             is_from_outside: true,
             is_settled: true,
-            leads_to: vec![demand("register", calls)],
+            demands: vec![demand("register", calls)],
         };
         assert!(!admission.on_route_update(at_ms(0), "upload", "survey", gate(9), update));
     }
@@ -360,10 +360,10 @@
             work_us,
             ..demand("register", 1.0)
         };
-        let update = RouteNews {
+        let update = RouteEstimate {
             is_from_outside: true,
             is_settled: true,
-            leads_to: vec![demand(service, 1.0), register],
+            demands: vec![demand(service, 1.0), register],
         };
         assert!(admission.on_route_update(at_ms(0), route, service, gate(1), update));
     }
@@ -383,10 +383,10 @@
 fn an_update_with_an_impossible_run_time_is_ignored() {
     let mut admission = admission();
     report_level(&mut admission, 0, 1, 1.0);
-    let update = |work_us| RouteNews {
+    let update = |work_us| RouteEstimate {
         is_from_outside: true,
         is_settled: true,
-        leads_to: vec![ServiceDemand {
+        demands: vec![ServiceDemand {
             work_us,
             ..demand("register", 8.0)
         }],
@@ -413,10 +413,10 @@
         for (route, calls_bits, is_settled, is_from_outside) in updates {
             let (route, service, ..) = ROUTES[usize::from(route) % ROUTES.len()];
             let calls = f32::from_bits(calls_bits);
-            let update = RouteNews {
+            let update = RouteEstimate {
                 is_from_outside,
                 is_settled,
-                leads_to: vec![demand("register", calls)],
+                demands: vec![demand("register", calls)],
             };
             admission.on_route_update(at_ms(0), route, service, gate(3), update);
         }
--- a/crates/kumquatquay-wire/src/routed/frame.rs
+++ b/crates/kumquatquay-wire/src/routed/frame.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Fields, FollowState, GateReport, Priority, QuotaVerdict, RouteNews, ServicePressure, SliceSets,
-    WorkspaceName,
+    Fields, FollowState, GateReport, Priority, QuotaVerdict, RouteEstimate, ServicePressure,
+    SliceSets, WorkspaceName,
 };
 use crate::{BackendLife, WireError};
 
@@ -187,7 +187,8 @@
     /// How far the sender follows the configuration.
     pub followed: FollowState,
     /// What the sender knows of the call's route, where it wasn't told just before.
-    pub news: Option<RouteNews>,
+    #[serde(rename = "news")]
+    pub route_estimate: Option<RouteEstimate>,
     /// Pressure on the services that the route leads to.
     pub pressures: Vec<ServicePressure>,
 }
--- a/crates/kumquatquay-wire/src/routed/mod.rs
+++ b/crates/kumquatquay-wire/src/routed/mod.rs
@@ -14,7 +14,7 @@
 mod frame;
 mod gate_report;
 mod quota;
-mod route_news;
+mod route_estimate;
 mod workspace;
 
 pub use configuration::{
@@ -28,5 +28,5 @@
 };
 pub use gate_report::{GateReport, RateReport};
 pub use quota::{HALVES_COUNT, QuotaVerdict, SLICES_COUNT, SliceSets};
-pub use route_news::{RouteNews, ServiceDemand, ServicePressure};
+pub use route_estimate::{RouteEstimate, ServiceDemand, ServicePressure};
 pub use workspace::{KeyDigest, Quota, WorkspaceName, WorkspaceSettings};
--- a/crates/kumquatquay-wire/src/routed/route_news.rs
+++ b/crates/kumquatquay-wire/src/routed/route_estimate.rs
@@ -6,13 +6,14 @@
 
 /// What the node beside a backend server has learnt of a route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RouteNews {
+pub struct RouteEstimate {
     /// Whether outside callers use it; otherwise backend servers call it.
     pub is_from_outside: bool,
     /// Whether enough was seen to count more than what others have learnt.
     pub is_settled: bool,
     /// What one run asks of each service, directly or by what it calls, its own run included.
-    pub leads_to: Vec<ServiceDemand>,
+    #[serde(rename = "leads_to")]
+    pub demands: Vec<ServiceDemand>,
 }
 
 /// What one run of a route asks of a service.
--- a/crates/kumquatquay-wire/tests/frames.rs
+++ b/crates/kumquatquay-wire/tests/frames.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use kumquatquay_wire::{
     WireError,
-    routed::{Fields, FrameHead, FrameReader, Payload, RouteNews, ServiceDemand, encode_frame},
+    routed::{Fields, FrameHead, FrameReader, Payload, RouteEstimate, ServiceDemand, encode_frame},
 };
 use quickcheck::quickcheck;
 
@@ -91,20 +91,20 @@
     refused(&[0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0, b'a', b'b']);
 }
 
-/// News of a route goes over a link twice a second for each route that is called there.
+/// The estimate of a route goes over a link twice a second for each route that is called there.
 #[test]
-fn news_of_a_route_is_short() {
+fn route_estimate_is_short() {
     let demand = |number: u32| ServiceDemand {
         service: format!("timet-{number}"),
         calls: 8.0,
         work_us: 440_000,
     };
-    let news = RouteNews {
+    let estimate = RouteEstimate {
         is_from_outside: true,
         is_settled: true,
-        leads_to: (0..4).map(demand).collect(),
+        demands: (0..4).map(demand).collect(),
     };
-    let bytes = postcard::to_allocvec(&news).unwrap();
+    let bytes = postcard::to_allocvec(&estimate).unwrap();
     assert!(bytes.len() <= 64 + 4, "{}", bytes.len());
 }
 
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -418,7 +418,7 @@
     let never = std::future::pending();
     let mut answer = run_locally(node, &head, &call.payload, confirmed, never).await;
     answer.report = Some(node.gate_report());
-    answer.news = Some(node.route_news(head.route));
+    answer.route_estimate = Some(node.route_estimate(head.route));
     answer
 }
 
@@ -430,7 +430,7 @@
     if let Some(report) = answer.report {
         entry_admission.on_gate(now, &call.service, gate, &report);
     }
-    if let Some(update) = &answer.news {
+    if let Some(update) = &answer.route_estimate {
         let route = &call.route.settings.name;
         if entry_admission.on_route_update(now, route, &call.service, gate, update.clone()) {
             node.route_demand_log
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -362,7 +362,7 @@
             payload,
             is_leaving: answer.is_leaving,
             report: Some(answer.report),
-            news: answer.news,
+            route_estimate: answer.route_estimate,
             pressures: answer.pressures,
         });
     }
--- a/crates/kumquatquayd/src/routed/link_answer.rs
+++ b/crates/kumquatquayd/src/routed/link_answer.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, rc::Rc};
 
 use kumquatquay_wire::routed::{
-    GateReport, LinkOutcome, NotRunReason, Payload, RouteNews, ServicePressure, UnknownReason,
+    GateReport, LinkOutcome, NotRunReason, Payload, RouteEstimate, ServicePressure, UnknownReason,
 };
 
 /// Shared flag: whether a call may have reached a backend server. While it is clear, the caller
@@ -34,7 +34,7 @@
     /// Whether the backend server stated in its answer that it is leaving.
     pub(crate) is_leaving: bool,
     pub(crate) report: Option<GateReport>,
-    pub(crate) news: Option<RouteNews>,
+    pub(crate) route_estimate: Option<RouteEstimate>,
     pub(crate) pressures: Vec<ServicePressure>,
 }
 
@@ -81,7 +81,7 @@
             payload: Payload::default(),
             is_leaving: false,
             report: None,
-            news: None,
+            route_estimate: None,
             pressures: Vec::new(),
         }
     }
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -10,8 +10,8 @@
 use kumquatquay_wire::{
     WireError,
     routed::{
-        AnswerHead, CallNumber, FollowState, Frame, FrameHead, HeldFrame, NotRunReason, RouteNews,
-        ServicePressure,
+        AnswerHead, CallNumber, FollowState, Frame, FrameHead, HeldFrame, NotRunReason,
+        RouteEstimate, ServicePressure,
     },
 };
 use tokio::{net::TcpStream, sync::oneshot};
@@ -33,7 +33,7 @@
     /// Calls without an answer.
     open: RefCell<HashMap<CallNumber, OpenCall>>,
     /// What was last sent about each route.
-    sent_news: RefCell<HashMap<String, SentNews>>,
+    sent_estimates: RefCell<HashMap<String, SentEstimate>>,
     /// When pressures were last sent.
     pressures_sent_at: Cell<Duration>,
     /// When the follow state was last sent with its proof.
@@ -42,7 +42,7 @@
 
 /// What was last sent about a route.
 #[derive(Debug)]
-struct SentNews {
+struct SentEstimate {
     sent_at: Duration,
     /// When the route was last checked for changes.
     checked_at: Duration,
@@ -63,13 +63,13 @@
 /// both hosts in case their CPU time is limited by a quota.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Interval at which unchanged news of a route is sent on a link; it changes slowly.
-const NEWS_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the unchanged estimate of a route is sent on a link; it changes slowly.
+const ESTIMATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval at which a route is checked for new services that it leads to. At the start of an
-/// overload this news travels up through several services, and until it arrives all requests
+/// overload the estimate travels up through several services, and until it arrives all requests
 /// are admitted.
-const NEWS_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const ESTIMATE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval at which pressures are sent on a link; the controllers that use them look back over
 /// 100 ms.
@@ -79,34 +79,34 @@
 const PROOF_INTERVAL: Duration = Duration::from_millis(100);
 
 impl ServedLink {
-    /// News of a route, unless it was sent recently and hasn't changed.
-    fn news(&self, node: &RoutedNode, route: &str) -> Option<RouteNews> {
+    /// Estimate of a route, unless it was sent recently and hasn't changed.
+    fn route_estimate(&self, node: &RoutedNode, route: &str) -> Option<RouteEstimate> {
         let now = node.now();
-        let mut sent = self.sent_news.borrow_mut();
+        let mut sent = self.sent_estimates.borrow_mut();
         let last = sent.get_mut(route);
         if let Some(last) = last {
-            if now < last.checked_at + NEWS_CHECK_INTERVAL {
+            if now < last.checked_at + ESTIMATE_CHECK_INTERVAL {
                 return None;
             }
             last.checked_at = now;
         }
-        let news = node.route_news(route);
+        let estimate = node.route_estimate(route);
         let is_already_sent = sent.get(route).is_some_and(|last| {
-            now < last.sent_at + NEWS_INTERVAL
-                && last.services_count == news.leads_to.len()
-                && last.is_from_outside == news.is_from_outside
+            now < last.sent_at + ESTIMATE_INTERVAL
+                && last.services_count == estimate.demands.len()
+                && last.is_from_outside == estimate.is_from_outside
         });
         if is_already_sent {
             return None;
         }
-        let now_sent = SentNews {
+        let now_sent = SentEstimate {
             sent_at: now,
             checked_at: now,
-            services_count: news.leads_to.len(),
-            is_from_outside: news.is_from_outside,
+            services_count: estimate.demands.len(),
+            is_from_outside: estimate.is_from_outside,
         };
         sent.insert(String::from(route), now_sent);
-        Some(news)
+        Some(estimate)
     }
 
     /// Follow state of this node, with its proof unless one was sent recently.
@@ -126,8 +126,8 @@
             return Vec::new();
         }
         self.pressures_sent_at.set(now);
-        let leads_to = node.route_news(route).leads_to;
-        node.entry_admission.borrow().pressures(now, &leads_to)
+        let demands = node.route_estimate(route).demands;
+        node.entry_admission.borrow().pressures(now, &demands)
     }
 }
 
@@ -279,7 +279,7 @@
         is_leaving: answer.is_leaving,
         report: node.gate_report(),
         followed: link.follow_state(node),
-        news: link.news(node, route),
+        route_estimate: link.route_estimate(node, route),
         pressures: link.pressures(node, route),
     });
     link.frames.push_with(&head, &answer.payload);
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -547,7 +547,7 @@
         payload: Payload { fields, body },
         is_leaving: metadata.is_leaving,
         report: None,
-        news: None,
+        route_estimate: None,
         pressures: Vec::new(),
     })
 }
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -16,7 +16,7 @@
     RouteTable, RunFailures, StorePoller, StoreReaders, UnknownKeys,
 };
 use kumquatquay_wire::routed::{
-    BODY_LIMIT_BYTES, FollowState, GateReport, RouteConfiguration, RouteNews, RouteVersion,
+    BODY_LIMIT_BYTES, FollowState, GateReport, RouteConfiguration, RouteEstimate, RouteVersion,
     ServiceDemand,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -49,8 +49,8 @@
 /// counts less than what nodes with more data report.
 const SETTLING_TIME: Duration = Duration::from_secs(4);
 
-/// How long the computed [`RouteNews`] of a route is reused.
-const ROUTE_NEWS_CACHE_TIME: Duration = Duration::from_millis(100);
+/// How long the computed [`RouteEstimate`] of a route is reused.
+const ROUTE_ESTIMATE_CACHE_TIME: Duration = Duration::from_millis(100);
 
 /// Least limit for the size of a request head.
 const MIN_HEAD_LIMIT_BYTES: usize = 8 * 1024;
@@ -121,8 +121,8 @@
     pub(super) fair_shares: RefCell<FairShares>,
     /// Notified when a request is held.
     pub(super) request_held: Notify,
-    /// Recently computed news of routes, with the time of computation.
-    route_news_cache: RefCell<HashMap<String, (Duration, RouteNews)>>,
+    /// Recently computed estimates of routes, with the time of computation.
+    route_estimate_cache: RefCell<HashMap<String, (Duration, RouteEstimate)>>,
     pub(crate) backend: BackendPool,
     pub(crate) metrics: NodeMetrics,
     pub(crate) route_demand_log: RouteDemandLog,
@@ -227,7 +227,7 @@
             backend_liveness: RefCell::default(),
             machine_slowdown: RefCell::default(),
             run_failures: RefCell::default(),
-            route_news_cache: RefCell::default(),
+            route_estimate_cache: RefCell::default(),
             level_controller: RefCell::default(),
             route_callers: RefCell::new(route_callers),
             call_graph: RefCell::default(),
@@ -368,25 +368,25 @@
     ///
     /// The result is cached, since it takes a fit over all routes of the service, and any
     /// answer may carry it.
-    pub(crate) fn route_news(&self, route: &str) -> RouteNews {
+    pub(crate) fn route_estimate(&self, route: &str) -> RouteEstimate {
         let now = self.now();
-        if let Some((computed, news)) = self.route_news_cache.borrow().get(route)
-            && now < *computed + ROUTE_NEWS_CACHE_TIME
+        if let Some((computed, estimate)) = self.route_estimate_cache.borrow().get(route)
+            && now < *computed + ROUTE_ESTIMATE_CACHE_TIME
         {
-            return news.clone();
+            return estimate.clone();
         }
-        let news = self.compute_route_news(now, route);
-        let mut known = self.route_news_cache.borrow_mut();
-        known.retain(|_, (computed, _)| now < *computed + ROUTE_NEWS_CACHE_TIME);
-        known.insert(String::from(route), (now, news.clone()));
-        news
+        let estimate = self.compute_route_estimate(now, route);
+        let mut known = self.route_estimate_cache.borrow_mut();
+        known.retain(|_, (computed, _)| now < *computed + ROUTE_ESTIMATE_CACHE_TIME);
+        known.insert(String::from(route), (now, estimate.clone()));
+        estimate
     }
 
-    fn compute_route_news(&self, now: Duration, route: &str) -> RouteNews {
+    fn compute_route_estimate(&self, now: Duration, route: &str) -> RouteEstimate {
         let services_count = self.load_balancer.borrow().services_count();
         let levels = self.entry_admission.borrow();
         let own = self.own_demand(route);
-        let mut leads_to = BTreeMap::from([(own.service.clone(), own)]);
+        let mut demands = BTreeMap::from([(own.service.clone(), own)]);
         let (edges, is_traced) = self.call_edges(now, route);
         for edge in edges {
             // Calls on routes that outside callers use were counted before that was known.
@@ -395,19 +395,19 @@
             }
             for demand in levels.all_demands(now, &edge.callee) {
                 let demand = demand.scaled(edge.calls_per_run as f32);
-                let known = leads_to.entry(demand.service.clone()).or_default();
+                let known = demands.entry(demand.service.clone()).or_default();
                 *known = demand.and(known);
             }
         }
         let is_starting = now < SETTLING_TIME;
-        RouteNews {
+        RouteEstimate {
             is_settled: is_traced || (!is_starting && self.call_graph.borrow().is_settled()),
             is_from_outside: self.route_callers.borrow().is_from_outside(
                 now,
                 route,
                 services_count,
             ),
-            leads_to: leads_to.into_values().collect(),
+            demands: demands.into_values().collect(),
         }
     }
 
--- a/crates/kumquatquayd/src/routed/route_demand_log.rs
+++ b/crates/kumquatquayd/src/routed/route_demand_log.rs
@@ -4,7 +4,7 @@
 
 use kumquatquay_wire::{
     ServiceName,
-    routed::{RouteNews, ServiceDemand},
+    routed::{RouteEstimate, ServiceDemand},
 };
 
 /// Minimum interval between two log lines on one route at one service.
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 struct LoggedDemand {
     logged_at: Duration,
-    update: RouteNews,
+    update: RouteEstimate,
 }
 
 impl RouteDemandLog {
@@ -41,7 +41,7 @@
         now: Duration,
         route: &str,
         service: &str,
-        update: &RouteNews,
+        update: &RouteEstimate,
     ) {
         let mut logged = self.logged.borrow_mut();
         let key = (String::from(route), ServiceName::from(service));
@@ -51,14 +51,14 @@
         if !is_due || is_same || (last.is_none() && logged.len() >= ROUTES_LIMIT_COUNT) {
             return;
         }
-        let leads_to = update.leads_to.iter();
-        let leads_to = leads_to.map(|demand| {
+        let demands = update.demands.iter();
+        let demands = demands.map(|demand| {
             let work_ms = f64::from(demand.work_us) / 1_000.0;
             format!("{} {:.1} {work_ms:.0} ms", demand.service, demand.calls)
         });
         log::info!(event = "route_learnt", route = route, service = service,
             is_settled = update.is_settled, is_from_outside = update.is_from_outside,
-            leads_to = leads_to.collect::<Vec<_>>().join(", ").as_str();
+            leads_to = demands.collect::<Vec<_>>().join(", ").as_str();
             "learnt the demand of a route: calls at each service and their slot time");
         let update = update.clone();
         logged.insert(
@@ -71,9 +71,9 @@
     }
 }
 
-fn differs(last: &RouteNews, update: &RouteNews) -> bool {
-    let demand_at = |update: &RouteNews, service: &str| {
-        let mut known = update.leads_to.iter();
+fn differs(last: &RouteEstimate, update: &RouteEstimate) -> bool {
+    let demand_at = |update: &RouteEstimate, service: &str| {
+        let mut known = update.demands.iter();
         known.find(|demand| demand.service == service).cloned()
     };
     let changed = |demand: &ServiceDemand| {
@@ -86,6 +86,6 @@
     let removed = |demand: &ServiceDemand| demand_at(update, &demand.service).is_none();
     last.is_from_outside != update.is_from_outside
         || last.is_settled != update.is_settled
-        || update.leads_to.iter().any(changed)
-        || last.leads_to.iter().any(removed)
+        || update.demands.iter().any(changed)
+        || last.demands.iter().any(removed)
 }
