--- a/crates/kumquatquay-core/src/membership/bulk_sync.rs
+++ b/crates/kumquatquay-core/src/membership/bulk_sync.rs
@@ -27,34 +27,34 @@
 const DIFFERENCE_TIME: Duration = Duration::from_millis(1_500);
 
 /// How long a difference must last when the table is never unchanged for long.
-const RESTLESS_DIFFERENCE_TIME: Duration = Duration::from_secs(30);
+const BUSY_DIFFERENCE_TIME: Duration = Duration::from_secs(30);
 
 /// The shortest and longest pause between two questions; it doubles while the
 /// answers bring nothing new.
-const PAUSE_LEAST: Duration = Duration::from_secs(10);
-const PAUSE_MOST: Duration = Duration::from_secs(300);
+const MIN_PAUSE: Duration = Duration::from_secs(10);
+const MAX_PAUSE: Duration = Duration::from_secs(300);
 
 /// How long a node takes every difference for a loss after it has joined, and
 /// the pause between its questions.
-const YOUNG_AGE: Duration = Duration::from_secs(60);
-const YOUNG_PAUSE: Duration = Duration::from_secs(4);
+const JUST_JOINED_TIME: Duration = Duration::from_secs(60);
+const JUST_JOINED_PAUSE: Duration = Duration::from_secs(4);
 
 /// New records of one answer that are told on, at most. More of them spread
 /// cheaper from table to table, and would hold up other news for a minute.
-const TOLD_ON_LIMIT_COUNT: usize = 64;
+const FORWARD_LIMIT_COUNT: usize = 64;
 
 /// How long a member must be unchanged here before its absence from a complete
 /// answer means that it is gone; the answer may be older than the newest news.
 const ABSENCE_AGE: Duration = Duration::from_secs(60);
 
 /// How long a node must have had its table before it calls it complete.
-const COMPLETE_AGE: Duration = Duration::from_secs(30);
+const COMPLETE_AFTER: Duration = Duration::from_secs(30);
 
 /// Exchange of whole tables.
 #[derive(Debug)]
 pub(crate) struct BulkSync {
     /// When the first table arrived.
-    joined: Option<Duration>,
+    joined_at: Option<Duration>,
     next_join: Duration,
     asked_until: Option<Duration>,
     next_question: Duration,
@@ -65,11 +65,11 @@
 impl Default for BulkSync {
     fn default() -> Self {
         Self {
-            joined: None,
+            joined_at: None,
             next_join: Duration::ZERO,
             asked_until: None,
             next_question: Duration::ZERO,
-            pause: PAUSE_LEAST,
+            pause: MIN_PAUSE,
             differs_since: None,
         }
     }
@@ -78,7 +78,7 @@
 impl BulkSync {
     /// Whether this node has had a whole table from another one, or is the first.
     pub(crate) fn is_joined(&self) -> bool {
-        self.joined.is_some()
+        self.joined_at.is_some()
     }
 }
 
@@ -88,7 +88,7 @@
     if sync.asked_until.is_some_and(|until| now.monotonic >= until) {
         sync.asked_until = None;
     }
-    if sync.joined.is_some() || sync.asked_until.is_some() || now.monotonic < sync.next_join {
+    if sync.joined_at.is_some() || sync.asked_until.is_some() || now.monotonic < sync.next_join {
         return;
     }
     sync.next_join = now.monotonic + JOIN_INTERVAL;
@@ -98,16 +98,16 @@
     let others = others.filter(|control| *control != own);
     let known = seeds.into_iter().chain(others);
     let Some(to) = known.choose(&mut board.random) else {
-        board.membership.sync.joined = Some(now.monotonic);
+        board.membership.sync.joined_at = Some(now.monotonic);
         return;
     };
-    board.membership.gossip.push(own, Urgency::Now);
+    board.membership.gossip_queue.push(own, Urgency::High);
     ask(board, now, to, out);
-    sender::send_near(board, now, to, ControlBody::News, out);
+    sender::send_local(board, now, to, ControlBody::News, out);
 }
 
 /// Hears the digest of a member of the own data centre.
-pub(super) fn on_near_digest(
+pub(super) fn on_local_digest(
     board: &mut Blackboard,
     now: Moment,
     from: SocketAddr,
@@ -122,13 +122,13 @@
     let is_quiet = is_quiet(board, now);
     let differs_since = &mut board.membership.sync.differs_since;
     let lasted = now.monotonic - *differs_since.get_or_insert(now.monotonic);
-    if lasted >= RESTLESS_DIFFERENCE_TIME || (is_quiet && lasted >= DIFFERENCE_TIME) {
-        ask_in_turn(board, now, from, out);
+    if lasted >= BUSY_DIFFERENCE_TIME || (is_quiet && lasted >= DIFFERENCE_TIME) {
+        ask_after_pause(board, now, from, out);
     }
 }
 
 /// Hears the digest of another data centre, from one of its members.
-pub(super) fn on_far_digest(
+pub(super) fn on_remote_digest(
     board: &mut Blackboard,
     now: Moment,
     from: SocketAddr,
@@ -139,22 +139,22 @@
     let known = board.members.view(data_centre);
     let known = known.map_or(0, DataCentreView::digest);
     if digest != known && is_quiet(board, now) {
-        ask_in_turn(board, now, from, out);
+        ask_after_pause(board, now, from, out);
     }
 }
 
 fn is_quiet(board: &Blackboard, now: Moment) -> bool {
-    is_young(board, now) || now.monotonic >= board.members.changed() + QUIET_TIME
+    has_just_joined(board, now) || now.monotonic >= board.members.last_changed_at() + QUIET_TIME
 }
 
 /// Whether this node joined just now: its first table may have come from a node
 /// that had little itself, as when a whole data centre starts at once.
-fn is_young(board: &Blackboard, now: Moment) -> bool {
-    let joined = board.membership.sync.joined;
-    joined.is_some_and(|joined| now.monotonic < joined + YOUNG_AGE)
+fn has_just_joined(board: &Blackboard, now: Moment) -> bool {
+    let joined = board.membership.sync.joined_at;
+    joined.is_some_and(|joined| now.monotonic < joined + JUST_JOINED_TIME)
 }
 
-fn ask_in_turn(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
+fn ask_after_pause(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
     let sync = &board.membership.sync;
     if sync.asked_until.is_none() && now.monotonic >= sync.next_question {
         ask(board, now, to, out);
@@ -251,8 +251,8 @@
 
 fn members_of(board: &Blackboard, now: Moment, data_centre: DataCentreName) -> DataCentreMembers {
     let is_own = data_centre == board.settings.data_centre;
-    let joined = board.membership.sync.joined;
-    let is_settled = joined.is_some_and(|joined| now.monotonic >= joined + COMPLETE_AGE);
+    let joined = board.membership.sync.joined_at;
+    let is_settled = joined.is_some_and(|joined| now.monotonic >= joined + COMPLETE_AFTER);
     let is_holding = board.membership.suspicions.is_holding();
     let records = board.members.iter();
     let records = records.filter(|record| record.data_centre == data_centre);
@@ -291,11 +291,11 @@
     let sync = &mut board.membership.sync;
     sync.asked_until = None;
     sync.differs_since = None;
-    if sync.joined.is_none() {
-        sync.joined = Some(now.monotonic);
+    if sync.joined_at.is_none() {
+        sync.joined_at = Some(now.monotonic);
         let records = data_centres.into_iter().flat_map(|members| members.records);
-        sync.pause = YOUNG_PAUSE;
-        sync.next_question = now.monotonic + YOUNG_PAUSE;
+        sync.pause = JUST_JOINED_PAUSE;
+        sync.next_question = now.monotonic + JUST_JOINED_PAUSE;
         merge::on_table(board, now, records.collect(), 0, out);
         return;
     }
@@ -306,14 +306,14 @@
     let absent: Vec<MemberRecord> = absent.collect();
     let records = data_centres.into_iter().flat_map(|members| members.records);
     let records = records.chain(absent).collect();
-    merge::on_table(board, now, records, TOLD_ON_LIMIT_COUNT, out);
+    merge::on_table(board, now, records, FORWARD_LIMIT_COUNT, out);
     let is_useful = board.members.digest() != before;
-    let is_young = is_young(board, now);
+    let has_just_joined = has_just_joined(board, now);
     let sync = &mut board.membership.sync;
-    sync.pause = match (is_useful, is_young) {
-        (_, true) => YOUNG_PAUSE,
-        (true, false) => PAUSE_LEAST,
-        (false, false) => (sync.pause * 2).clamp(PAUSE_LEAST, PAUSE_MOST),
+    sync.pause = match (is_useful, has_just_joined) {
+        (_, true) => JUST_JOINED_PAUSE,
+        (true, false) => MIN_PAUSE,
+        (false, false) => (sync.pause * 2).clamp(MIN_PAUSE, MAX_PAUSE),
     };
     sync.next_question = now.monotonic + sync.pause;
 }
@@ -327,8 +327,8 @@
     now: Moment,
     members: &DataCentreMembers,
 ) -> Vec<MemberRecord> {
-    let is_far = members.data_centre != board.settings.data_centre;
-    if !members.is_complete || !is_far {
+    let is_remote = members.data_centre != board.settings.data_centre;
+    if !members.is_complete || !is_remote {
         return Vec::new();
     }
     let Some(view) = board.members.view(&members.data_centre) else {
@@ -342,7 +342,7 @@
     };
     let unnamed = view.live().iter().filter(|control| !is_named(**control));
     let old = unnamed.filter(|control| {
-        let changed = board.members.changed_at(**control);
+        let changed = board.members.member_changed_at(**control);
         changed.is_some_and(|changed| now.monotonic >= changed + ABSENCE_AGE)
     });
     old.filter_map(|control| board.members.get(*control))
--- a/crates/kumquatquay-core/src/membership/byte_budget.rs
+++ b/crates/kumquatquay-core/src/membership/byte_budget.rs
@@ -9,7 +9,7 @@
     burst_bytes: u64,
     /// Tokens, in bytes times microseconds, so that no part of one gets lost.
     tokens: u64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
 /// Tokens that stand for one byte.
@@ -21,14 +21,14 @@
             rate_bytes_per_s,
             burst_bytes,
             tokens: burst_bytes * TOKENS_PER_BYTE,
-            filled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
     /// Bytes that may be sent now.
     pub(super) fn available_bytes(&mut self, now: Duration) -> usize {
-        let passed_us = now.saturating_sub(self.filled).as_micros() as u64;
-        self.filled = now;
+        let passed_us = now.saturating_sub(self.refilled_at).as_micros() as u64;
+        self.refilled_at = now;
         let earned = passed_us.saturating_mul(self.rate_bytes_per_s);
         let full = self.burst_bytes * TOKENS_PER_BYTE;
         self.tokens = self.tokens.saturating_add(earned).min(full);
--- a/crates/kumquatquay-core/src/membership/candidate.rs
+++ b/crates/kumquatquay-core/src/membership/candidate.rs
@@ -25,7 +25,7 @@
     pub(crate) slots_count: u32,
     /// Since when it takes calls, on this node's monotonic clock; zero if it
     /// did so before this node knew it. Slow start counts from here.
-    pub(crate) since: Duration,
+    pub(crate) takes_calls_since: Duration,
 }
 
 impl Candidate {
@@ -39,7 +39,7 @@
             is_warming: record.state == MemberState::Warming,
             is_suspect: record.is_suspect,
             slots_count: record.slots_count,
-            since,
+            takes_calls_since: since,
         }
     }
 }
--- a/crates/kumquatquay-core/src/membership/controller.rs
+++ b/crates/kumquatquay-core/src/membership/controller.rs
@@ -6,8 +6,8 @@
 use rand::seq::SliceRandom;
 
 use super::{
-    bulk_sync, carrier, far_silence, gossip, leaving, merge, prober, replay_windows::Freshness,
-    seed_log, sender, suspicion,
+    bulk_sync, data_centre_liveness, data_centre_relay, draining, gossip, merge, prober,
+    replay_windows::Freshness, seed_log, sender, suspicion,
 };
 use crate::{
     BackendInput, Blackboard, BulkInput, Counter, Moment, Note, Output, configuration, overload,
@@ -33,7 +33,7 @@
 const CORRECTION_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time without a tick that is taken for a standstill.
-const STANDSTILL: Duration = Duration::from_secs(1);
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Addresses of a register to which a node introduces itself at once; at 300
 /// bytes each that is 19 KB, and the others hear of it from these.
@@ -56,12 +56,12 @@
             out.push(Output::Note(Note::warn("announcement_refused", detail)));
         }
         BackendInput::Announced(announcement) => {
-            board.membership.announced = Some(announcement);
+            board.membership.announcement = Some(announcement);
         }
-        BackendInput::Died => board.membership.announced = None,
+        BackendInput::Died => board.membership.announcement = None,
         BackendInput::HealthReported { .. } => return,
     }
-    leaving::tell_own_state(board, now);
+    draining::update_own_state(board, now);
 }
 
 pub(crate) fn on_bulk(
@@ -74,20 +74,20 @@
 }
 
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    notice_standstill(board, now, out);
-    leaving::on_tick(board, now, out);
+    detect_stall(board, now, out);
+    draining::on_tick(board, now, out);
     prober::on_tick(board, now, out);
     suspicion::on_tick(board, now, out);
     seed_log::on_tick(board, now, out);
     bulk_sync::on_tick(board, now, out);
     gossip::on_tick(board, now, out);
-    carrier::on_tick(board, now, out);
+    data_centre_relay::on_tick(board, now, out);
     if now.monotonic >= board.membership.next_forget {
         board.membership.next_forget = now.monotonic + FORGET_INTERVAL;
         board
             .members
             .forget_gone(now.monotonic, GONE_LIFETIME, GONE_LIMIT_COUNT);
-        far_silence::forget(board, now, out);
+        data_centre_liveness::forget(board, now, out);
     }
 }
 
@@ -95,14 +95,14 @@
 ///
 /// Answers and refutations may wait unread in its socket. By its clock they are
 /// overdue, and it would declare hosts gone that answered long ago.
-fn notice_standstill(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn detect_stall(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let last = board.membership.last_tick.replace(now.monotonic);
     let passed = now.monotonic.saturating_sub(last.unwrap_or(now.monotonic));
-    if passed < STANDSTILL {
+    if passed < STALL_THRESHOLD {
         return;
     }
-    board.membership.suspicions.restart(now.monotonic);
-    prober::forget_probe(board);
+    board.membership.suspicions.restart_timers(now.monotonic);
+    prober::cancel_probe(board);
     let detail = format!("this node stood still for {} ms", passed.as_millis());
     out.push(Output::Note(Note::warn("stood_still", detail)));
 }
@@ -117,14 +117,14 @@
         return;
     }
     let from = datagram.sender;
-    far_silence::on_heard(board, now, from);
+    data_centre_liveness::on_datagram_from(board, now, from);
     for rumour in datagram.rumours {
         on_rumour(board, now, from, rumour, out);
     }
     match datagram.body {
         ControlBody::Ping { probe, digest } => {
-            sender::send_near(board, now, from, ControlBody::Ack { probe }, out);
-            bulk_sync::on_near_digest(board, now, from, digest, out);
+            sender::send_local(board, now, from, ControlBody::Ack { probe }, out);
+            bulk_sync::on_local_digest(board, now, from, digest, out);
         }
         ControlBody::Ack { probe } => prober::on_ack(board, now, probe, out),
         ControlBody::IndirectPing { probe, target } => {
@@ -134,13 +134,13 @@
             data_centre,
             digest,
         } => {
-            far_silence::on_heard_of(board, now, &data_centre);
-            bulk_sync::on_far_digest(board, now, from, &data_centre, digest, out);
+            data_centre_liveness::record_contact(board, now, &data_centre);
+            bulk_sync::on_remote_digest(board, now, from, &data_centre, digest, out);
         }
         ControlBody::News => {}
         ControlBody::Introduce => {
             let own = [Rumour::Member(board.members.own().clone())];
-            sender::send_far(board, now, from, ControlBody::News, &own, out);
+            sender::send_remote(board, now, from, ControlBody::News, &own, out);
         }
     }
 }
@@ -168,7 +168,7 @@
     unknown.shuffle(&mut board.random);
     unknown.truncate(INTRODUCTIONS_COUNT);
     for to in unknown {
-        sender::send_far(board, now, to, ControlBody::Introduce, &own, out);
+        sender::send_remote(board, now, to, ControlBody::Introduce, &own, out);
     }
 }
 
@@ -198,7 +198,10 @@
     let freshness = if is_old {
         Freshness::OldIncarnation
     } else {
-        board.membership.windows.check(now.monotonic, datagram)
+        board
+            .membership
+            .replay_windows
+            .check(now.monotonic, datagram)
     };
     match freshness {
         Freshness::Fresh => true,
@@ -208,13 +211,13 @@
         }
         Freshness::OldIncarnation => {
             board.counters.increment(Counter::DatagramsOld);
-            tell_incarnation(board, now, from, out);
+            send_correction(board, now, from, out);
             false
         }
     }
 }
 
-fn tell_incarnation(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
+fn send_correction(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
     let Some(known) = board.members.get(to) else {
         return;
     };
@@ -223,7 +226,7 @@
     }
     board.membership.next_correction = now.monotonic + CORRECTION_INTERVAL;
     let rumours = [Rumour::Member(known.clone())];
-    sender::send_far(board, now, to, ControlBody::News, &rumours, out);
+    sender::send_remote(board, now, to, ControlBody::News, &rumours, out);
 }
 
 fn on_rumour(
--- a/crates/kumquatquay-core/src/membership/far_silence.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_liveness.rs
@@ -17,30 +17,30 @@
 
 /// When this node last heard of each other data centre from one of its members.
 #[derive(Debug, Default)]
-pub(crate) struct FarSilence {
+pub(crate) struct DataCentreLiveness {
     heard: BTreeMap<DataCentreName, Duration>,
 }
 
-impl FarSilence {
+impl DataCentreLiveness {
     /// Whether what others say of the members of a data centre is too old.
-    pub(super) fn is_lost(&self, now: Duration, data_centre: &DataCentreName) -> bool {
+    pub(super) fn is_expired(&self, now: Duration, data_centre: &DataCentreName) -> bool {
         let heard = self.heard.get(data_centre);
         heard.is_some_and(|heard| now >= *heard + SILENCE_LIMIT)
     }
 }
 
 /// Hears a member of some data centre.
-pub(super) fn on_heard(board: &mut Blackboard, now: Moment, from: SocketAddr) {
+pub(super) fn on_datagram_from(board: &mut Blackboard, now: Moment, from: SocketAddr) {
     let Some(record) = board.members.get(from) else {
         return;
     };
     let data_centre = record.data_centre.clone();
-    on_heard_of(board, now, &data_centre);
+    record_contact(board, now, &data_centre);
 }
 
 /// Hears a data centre's own word.
-pub(super) fn on_heard_of(board: &mut Blackboard, now: Moment, data_centre: &DataCentreName) {
-    let heard = &mut board.membership.far_silence.heard;
+pub(super) fn record_contact(board: &mut Blackboard, now: Moment, data_centre: &DataCentreName) {
+    let heard = &mut board.membership.data_centre_liveness.heard;
     if let Some(heard) = heard.get_mut(data_centre) {
         *heard = now.monotonic;
     }
@@ -53,9 +53,13 @@
     let far = views.filter(|(name, view)| *name != own && !view.live().is_empty());
     let far: Vec<DataCentreName> = far.map(|(name, _)| name.clone()).collect();
     for name in far {
-        let heard = &mut board.membership.far_silence.heard;
+        let heard = &mut board.membership.data_centre_liveness.heard;
         heard.entry(name.clone()).or_insert(now.monotonic);
-        if board.membership.far_silence.is_lost(now.monotonic, &name) {
+        if board
+            .membership
+            .data_centre_liveness
+            .is_expired(now.monotonic, &name)
+        {
             board.members.forget_data_centre(&name);
             let detail = format!("nobody in {name} was heard for {SILENCE_LIMIT:?}");
             out.push(Output::Note(Note::warn("data_centre_forgotten", detail)));
--- a/crates/kumquatquay-core/src/membership/carrier.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_relay.rs
@@ -5,7 +5,7 @@
 use kumquatquay_wire::{ControlBody, DataCentreName, Rumour};
 use rand::seq::IndexedRandom;
 
-use super::{sender, tellings::Tellings};
+use super::{sender, transmit_counts::TransmitCounts};
 use crate::{Blackboard, Moment, Output};
 
 /// Members of a data centre that carry its news to one other data centre.
@@ -13,7 +13,7 @@
 /// Each pair of data centres has its own carriers, so no node carries for all.
 /// Two of them do the same work: that needs no election, a double is harmless,
 /// and one of them may be gone without anybody noticing.
-const CARRIERS_COUNT: usize = 2;
+const RELAYS_COUNT: usize = 2;
 
 /// How often it is looked up which pairs this node carries for.
 const RANK_INTERVAL: Duration = Duration::from_secs(1);
@@ -22,13 +22,13 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Times that each carrier tells a piece of news, each time to another member.
-const TELLS_COUNT: u8 = 3;
+const TRANSMITS_COUNT: u8 = 3;
 
 /// How often the digest of the own data centre is sent.
 const DIGEST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How often it is sent when the own data centre is never unchanged for long.
-const RESTLESS_DIGEST_INTERVAL: Duration = Duration::from_secs(30);
+const BUSY_DIGEST_INTERVAL: Duration = Duration::from_secs(30);
 
 /// How often levels and quarantine records are sent while there are any.
 const OTHERS_INTERVAL: Duration = Duration::from_secs(1);
@@ -43,27 +43,27 @@
 
 /// Members of the own data centre of which a data centre is told at first; of
 /// more, only the digest is told.
-const FIRST_TELLS_LIMIT_COUNT: usize = 16;
+const INITIAL_MEMBERS_LIMIT_COUNT: usize = 16;
 
 /// Other data centres that this node tells of its own.
 #[derive(Debug, Default)]
-pub(crate) struct Carrier {
-    carried: BTreeMap<DataCentreName, Carried>,
+pub(crate) struct DataCentreRelay {
+    queues: BTreeMap<DataCentreName, RelayQueue>,
     ranked_version: Option<u64>,
     next_rank: Duration,
     next_round: Duration,
     next_others: Duration,
-    tellings: Tellings,
+    transmit_counts: TransmitCounts,
 }
 
 /// What is to be told to one data centre.
 #[derive(Debug)]
-struct Carried {
+struct RelayQueue {
     pending: BTreeMap<SocketAddr, u8>,
     last_digest: Duration,
 }
 
-impl Carried {
+impl RelayQueue {
     fn new(pending: BTreeMap<SocketAddr, u8>) -> Self {
         Self {
             pending,
@@ -72,64 +72,64 @@
     }
 }
 
-impl Carrier {
+impl DataCentreRelay {
     /// Data centres that this node carries news to.
-    pub(crate) fn carried(&self) -> impl Iterator<Item = &DataCentreName> {
-        self.carried.keys()
+    pub(crate) fn relayed_to(&self) -> impl Iterator<Item = &DataCentreName> {
+        self.queues.keys()
     }
 }
 
 /// Queues news of a member of the own data centre.
-pub(super) fn tell(board: &mut Blackboard, control: SocketAddr) {
-    for carried in board.membership.carrier.carried.values_mut() {
-        if carried.pending.len() < PENDING_LIMIT_COUNT {
-            carried.pending.insert(control, 0);
+pub(super) fn queue_member(board: &mut Blackboard, control: SocketAddr) {
+    for queue in board.membership.relay.queues.values_mut() {
+        if queue.pending.len() < PENDING_LIMIT_COUNT {
+            queue.pending.insert(control, 0);
         }
     }
 }
 
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     rank(board, now);
-    if now.monotonic < board.membership.carrier.next_round {
+    if now.monotonic < board.membership.relay.next_round {
         return;
     }
-    board.membership.carrier.next_round = now.monotonic + ROUND_INTERVAL;
-    let mut all = std::mem::take(&mut board.membership.carrier.carried);
-    let others = due_others(board, now, all.is_empty());
-    for (data_centre, carried) in &mut all {
-        tell_pending(board, now, data_centre, carried, out);
-        tell_others(board, now, data_centre, &others, out);
-        tell_digest(board, now, data_centre, carried, out);
+    board.membership.relay.next_round = now.monotonic + ROUND_INTERVAL;
+    let mut all = std::mem::take(&mut board.membership.relay.queues);
+    let others = due_rumours(board, now, all.is_empty());
+    for (data_centre, queue) in &mut all {
+        send_pending(board, now, data_centre, queue, out);
+        send_others(board, now, data_centre, &others, out);
+        send_digest(board, now, data_centre, queue, out);
     }
-    board.membership.carrier.carried = all;
+    board.membership.relay.queues = all;
 }
 
 /// Finds the pairs that this node carries for, when members came or went.
 fn rank(board: &mut Blackboard, now: Moment) {
     let version = board.members.live_version();
-    let carrier = &board.membership.carrier;
-    if carrier.ranked_version == Some(version) || now.monotonic < carrier.next_rank {
+    let relay = &board.membership.relay;
+    if relay.ranked_version == Some(version) || now.monotonic < relay.next_rank {
         return;
     }
     let members = &board.members;
     let own_name = &board.settings.data_centre;
     let own_weight = weight(own_name, board.settings.control);
-    let near = near_weights(board);
+    let near = local_weights(board);
     let others = members
         .views()
         .filter(|(name, view)| *name != own_name && !view.live().is_empty());
-    let carried: Vec<DataCentreName> = others
-        .filter(|(name, _)| is_among_first(&near, own_weight, receiver_salt(name)))
+    let names: Vec<DataCentreName> = others
+        .filter(|(name, _)| is_among_highest(&near, own_weight, receiver_salt(name)))
         .map(|(name, _)| name.clone())
         .collect();
-    let first = first_tells(board);
-    let carrier = &mut board.membership.carrier;
-    carrier.ranked_version = Some(version);
-    carrier.next_rank = now.monotonic + RANK_INTERVAL;
-    carrier.carried.retain(|name, _| carried.contains(name));
-    for name in carried {
-        let carried = carrier.carried.entry(name);
-        carried.or_insert_with(|| Carried::new(first.clone()));
+    let first = initial_members(board);
+    let relay = &mut board.membership.relay;
+    relay.ranked_version = Some(version);
+    relay.next_rank = now.monotonic + RANK_INTERVAL;
+    relay.queues.retain(|name, _| names.contains(name));
+    for name in names {
+        let queue = relay.queues.entry(name);
+        queue.or_insert_with(|| RelayQueue::new(first.clone()));
     }
 }
 
@@ -138,9 +138,9 @@
 /// Otherwise a data centre that just appeared would learn what changed before
 /// only from a digest, seconds later. In a large data centre it has learnt it from
 /// the other carriers, or from the table that it asked for when it joined.
-fn first_tells(board: &Blackboard) -> BTreeMap<SocketAddr, u8> {
+fn initial_members(board: &Blackboard) -> BTreeMap<SocketAddr, u8> {
     let live = board.members.own_view().live();
-    if live.len() > FIRST_TELLS_LIMIT_COUNT {
+    if live.len() > INITIAL_MEMBERS_LIMIT_COUNT {
         return BTreeMap::new();
     }
     live.iter().map(|control| (*control, 0)).collect()
@@ -148,21 +148,21 @@
 
 /// Whether this node is one of those that carry news to a receiver, which may be
 /// a stream of the log.
-pub(super) fn is_carrier_to(board: &Blackboard, receiver: &str) -> bool {
+pub(super) fn is_relay_to(board: &Blackboard, receiver: &str) -> bool {
     let own_weight = weight(&board.settings.data_centre, board.settings.control);
-    is_among_first(&near_weights(board), own_weight, receiver_salt(receiver))
+    is_among_highest(&local_weights(board), own_weight, receiver_salt(receiver))
 }
 
-fn near_weights(board: &Blackboard) -> Vec<u64> {
+fn local_weights(board: &Blackboard) -> Vec<u64> {
     let live = board.members.own_view().live().iter();
     live.map(|control| weight(&board.settings.data_centre, *control))
         .collect()
 }
 
-fn is_among_first(near: &[u64], own_weight: u64, salt: u64) -> bool {
+fn is_among_highest(near: &[u64], own_weight: u64, salt: u64) -> bool {
     let own = mix(own_weight ^ salt);
     let before = near.iter().filter(|weight| mix(**weight ^ salt) > own);
-    before.take(CARRIERS_COUNT).count() < CARRIERS_COUNT
+    before.take(RELAYS_COUNT).count() < RELAYS_COUNT
 }
 
 fn weight(data_centre: &DataCentreName, control: SocketAddr) -> u64 {
@@ -186,52 +186,52 @@
     number ^ (number >> 31)
 }
 
-fn tell_pending(
+fn send_pending(
     board: &mut Blackboard,
     now: Moment,
     data_centre: &DataCentreName,
-    carried: &mut Carried,
+    queue: &mut RelayQueue,
     out: &mut Vec<Output>,
 ) {
-    if carried.pending.is_empty() {
+    if queue.pending.is_empty() {
         return;
     }
-    let Some(to) = some_far(board, data_centre) else {
+    let Some(to) = random_remote_member(board, data_centre) else {
         return;
     };
-    let mut order: Vec<(u8, SocketAddr)> = carried
+    let mut order: Vec<(u8, SocketAddr)> = queue
         .pending
         .iter()
-        .map(|(control, tells)| (*tells, *control))
+        .map(|(control, transmits_count)| (*transmits_count, *control))
         .collect();
     order.sort_unstable();
     let known = order
         .iter()
         .filter_map(|(_, control)| board.members.get(*control));
     let rumours: Vec<Rumour> = known.map(sender::rumour_of).collect();
-    let told_count = sender::send_far(board, now, to, ControlBody::News, &rumours, out);
-    for (tells, control) in order.into_iter().take(told_count) {
-        if tells + 1 < TELLS_COUNT {
-            carried.pending.insert(control, tells + 1);
+    let sent_count = sender::send_remote(board, now, to, ControlBody::News, &rumours, out);
+    for (transmits_count, control) in order.into_iter().take(sent_count) {
+        if transmits_count + 1 < TRANSMITS_COUNT {
+            queue.pending.insert(control, transmits_count + 1);
         } else {
-            carried.pending.remove(&control);
+            queue.pending.remove(&control);
         }
     }
 }
 
 /// Rumours of other concerns, when their turn has come.
-fn due_others(board: &mut Blackboard, now: Moment, is_no_carrier: bool) -> Vec<Rumour> {
-    if is_no_carrier || now.monotonic < board.membership.carrier.next_others {
+fn due_rumours(board: &mut Blackboard, now: Moment, has_no_queues: bool) -> Vec<Rumour> {
+    if has_no_queues || now.monotonic < board.membership.relay.next_others {
         return Vec::new();
     }
-    board.membership.carrier.next_others = now.monotonic + OTHERS_INTERVAL;
-    let mut tellings = std::mem::take(&mut board.membership.carrier.tellings);
-    let others = tellings.due(board, now);
-    board.membership.carrier.tellings = tellings;
+    board.membership.relay.next_others = now.monotonic + OTHERS_INTERVAL;
+    let mut transmit_counts = std::mem::take(&mut board.membership.relay.transmit_counts);
+    let others = transmit_counts.due(board, now);
+    board.membership.relay.transmit_counts = transmit_counts;
     others
 }
 
-fn tell_others(
+fn send_others(
     board: &mut Blackboard,
     now: Moment,
     data_centre: &DataCentreName,
@@ -241,40 +241,43 @@
     if others.is_empty() {
         return;
     }
-    if let Some(to) = some_far(board, data_centre) {
-        sender::send_others(board, now, to, others, out);
+    if let Some(to) = random_remote_member(board, data_centre) {
+        sender::send_other_rumours(board, now, to, others, out);
     }
 }
 
-fn tell_digest(
+fn send_digest(
     board: &mut Blackboard,
     now: Moment,
     data_centre: &DataCentreName,
-    carried: &mut Carried,
+    queue: &mut RelayQueue,
     out: &mut Vec<Output>,
 ) {
-    let waited = now.monotonic.saturating_sub(carried.last_digest);
-    let is_quiet = now.monotonic >= board.members.changed() + QUIET_TIME;
+    let waited = now.monotonic.saturating_sub(queue.last_digest);
+    let is_quiet = now.monotonic >= board.members.last_changed_at() + QUIET_TIME;
     let wait = if is_quiet {
         DIGEST_INTERVAL
     } else {
-        RESTLESS_DIGEST_INTERVAL
+        BUSY_DIGEST_INTERVAL
     };
     if waited < wait {
         return;
     }
-    carried.last_digest = now.monotonic;
+    queue.last_digest = now.monotonic;
     let body = ControlBody::Digest {
         data_centre: board.settings.data_centre.clone(),
         digest: board.members.own_view().digest(),
     };
-    if let Some(to) = some_far(board, data_centre) {
-        sender::send_far(board, now, to, body, &[], out);
+    if let Some(to) = random_remote_member(board, data_centre) {
+        sender::send_remote(board, now, to, body, &[], out);
     }
 }
 
 /// Some member of another data centre.
-fn some_far(board: &mut Blackboard, data_centre: &DataCentreName) -> Option<SocketAddr> {
+fn random_remote_member(
+    board: &mut Blackboard,
+    data_centre: &DataCentreName,
+) -> Option<SocketAddr> {
     let view = board.members.view(data_centre)?;
     view.live().choose(&mut board.random).copied()
 }
--- a/crates/kumquatquay-core/src/membership/leaving.rs
+++ b/crates/kumquatquay-core/src/membership/draining.rs
@@ -12,14 +12,14 @@
 /// Nodes that have not heard yet still send here; while this node stays, they
 /// get a `not-run` answer that names the reason, and try elsewhere at once. By
 /// then the news is everywhere, see `docs/design/membership.md`.
-const LEAST_STAY: Duration = Duration::from_secs(2);
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// Members that a node tells that it is gone.
-const GOODBYES_COUNT: usize = 8;
+const DEPARTURE_MESSAGES_COUNT: usize = 8;
 
 /// Whether and why this host leaves.
 #[derive(Debug, Default)]
-pub(crate) struct Leaving {
+pub(crate) struct DrainState {
     /// An operator drains the host.
     is_drained: bool,
     /// The host was asked to stop.
@@ -34,8 +34,8 @@
 }
 
 pub(crate) fn drain(board: &mut Blackboard, now: Moment, _out: &mut Vec<Output>) -> OperatorReply {
-    board.membership.leaving.is_drained = true;
-    tell_own_state(board, now);
+    board.membership.drain_state.is_drained = true;
+    update_own_state(board, now);
     OperatorReply::Done {
         message: String::from("this host takes no new work; what it has is finished"),
     }
@@ -46,13 +46,13 @@
     now: Moment,
     _out: &mut Vec<Output>,
 ) -> OperatorReply {
-    if board.membership.leaving.stop.is_some() {
+    if board.membership.drain_state.stop.is_some() {
         return OperatorReply::Refused {
             message: String::from("this node is stopping; its replacement will take new work"),
         };
     }
-    board.membership.leaving.is_drained = false;
-    tell_own_state(board, now);
+    board.membership.drain_state.is_drained = false;
+    update_own_state(board, now);
     OperatorReply::Done {
         message: String::from("this host takes new work again"),
     }
@@ -64,15 +64,15 @@
     grace: Duration,
     out: &mut Vec<Output>,
 ) {
-    if board.membership.leaving.stop.is_some() {
+    if board.membership.drain_state.stop.is_some() {
         return;
     }
-    board.membership.leaving.stop = Some(Stop {
+    board.membership.drain_state.stop = Some(Stop {
         began: now.monotonic,
         until: now.monotonic + grace,
         is_done: false,
     });
-    tell_own_state(board, now);
+    update_own_state(board, now);
     let detail = format!("takes no new work; stops within {} s", grace.as_secs_f32());
     out.push(Output::Note(Note::info("stopping", detail)));
 }
@@ -80,14 +80,14 @@
 /// Ends a stop that has begun, once nothing is under way or the grace is over.
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let under_way_count = under_way_count(board);
-    let Some(stop) = board.membership.leaving.stop.as_mut() else {
+    let Some(stop) = board.membership.drain_state.stop.as_mut() else {
         return;
     };
     if stop.is_done {
         return;
     }
     let is_late = now.monotonic >= stop.until;
-    let is_told = now.monotonic >= stop.began + LEAST_STAY;
+    let is_told = now.monotonic >= stop.began + MIN_DRAIN_TIME;
     let is_finished = is_told && under_way_count == 0;
     if !is_late && !is_finished {
         return;
@@ -98,7 +98,7 @@
         out.push(Output::Note(Note::warn("grace_ran_out", detail)));
     }
     merge::change_own(board, now, |own| own.state = MemberState::Gone);
-    say_goodbye(board, now, out);
+    send_departure(board, now, out);
     out.push(Output::StopNow {
         aborted_count: under_way_count,
     });
@@ -106,9 +106,9 @@
 
 /// Tells some members that this node is gone; they tell the others. Were all
 /// these messages lost, the probes would find out within seconds.
-fn say_goodbye(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    for to in gossip::some_near(board, GOODBYES_COUNT) {
-        sender::send_near(board, now, to, ControlBody::News, out);
+fn send_departure(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+    for to in gossip::random_local_members(board, DEPARTURE_MESSAGES_COUNT) {
+        sender::send_local(board, now, to, ControlBody::News, out);
     }
 }
 
@@ -120,10 +120,10 @@
 ///
 /// A drain by an operator and a stop go before what the backend server says of
 /// itself: its next announcement must not bring it new work.
-pub(super) fn tell_own_state(board: &mut Blackboard, now: Moment) {
-    let leaving = &board.membership.leaving;
-    let is_leaving = leaving.is_drained || leaving.stop.is_some();
-    let announced = board.membership.announced.as_ref();
+pub(super) fn update_own_state(board: &mut Blackboard, now: Moment) {
+    let drain_state = &board.membership.drain_state;
+    let is_leaving = drain_state.is_drained || drain_state.stop.is_some();
+    let announced = board.membership.announcement.as_ref();
     let announced_state = announced.map_or(MemberState::Idle, |announced| announced.state);
     let announced_state = match announced_state {
         // The node stays when its backend server goes.
--- a/crates/kumquatquay-core/src/membership/gossip_queue.rs
+++ b/crates/kumquatquay-core/src/membership/gossip_queue.rs
@@ -12,15 +12,15 @@
 /// sending, so a member that changes quickly is queued once.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
-    order: BTreeSet<(Place, SocketAddr)>,
-    places: BTreeMap<SocketAddr, Place>,
+    order: BTreeSet<(Priority, SocketAddr)>,
+    priorities: BTreeMap<SocketAddr, Priority>,
 }
 
 /// Place of a piece of news in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Priority {
     urgency: Urgency,
-    tells_count: u32,
+    transmits_count: u32,
 }
 
 /// How long a piece of news can wait.
@@ -28,9 +28,9 @@
 pub(crate) enum Urgency {
     /// Work goes to a member that can't take it, or a doubt waits for others to
     /// confirm it: behind a few hundred new members it would come too late.
-    Now,
+    High,
     /// Work could also go there.
-    Soon,
+    Normal,
 }
 
 impl GossipQueue {
@@ -42,12 +42,12 @@
 
     /// Queues news of a member, as never told before.
     pub(super) fn push(&mut self, control: SocketAddr, urgency: Urgency) {
-        self.forget(control);
+        self.remove(control);
         self.insert(control, urgency, 0);
         if self.order.len() > Self::LIMIT_COUNT
             && let Some((_, last)) = self.order.pop_last()
         {
-            self.places.remove(&last);
+            self.priorities.remove(&last);
         }
     }
 
@@ -61,13 +61,13 @@
     ///
     /// Who hears what it knows already learns that others spread it too. Counting
     /// that ends the spreading about twice as early, with the same reach.
-    pub(super) fn told(&mut self, control: SocketAddr, limit: u32) {
-        let Some(place) = self.forget(control) else {
+    pub(super) fn count_transmit(&mut self, control: SocketAddr, limit: u32) {
+        let Some(priority) = self.remove(control) else {
             return;
         };
-        let tells_count = place.tells_count + 1;
-        if tells_count < limit {
-            self.insert(control, place.urgency, tells_count);
+        let transmits_count = priority.transmits_count + 1;
+        if transmits_count < limit {
+            self.insert(control, priority.urgency, transmits_count);
         }
     }
 
@@ -79,18 +79,18 @@
         self.order.is_empty()
     }
 
-    fn insert(&mut self, control: SocketAddr, urgency: Urgency, tells_count: u32) {
-        let place = Place {
+    fn insert(&mut self, control: SocketAddr, urgency: Urgency, transmits_count: u32) {
+        let priority = Priority {
             urgency,
-            tells_count,
+            transmits_count,
         };
-        self.order.insert((place, control));
-        self.places.insert(control, place);
+        self.order.insert((priority, control));
+        self.priorities.insert(control, priority);
     }
 
-    fn forget(&mut self, control: SocketAddr) -> Option<Place> {
-        let place = self.places.remove(&control)?;
-        self.order.remove(&(place, control));
-        Some(place)
+    fn remove(&mut self, control: SocketAddr) -> Option<Priority> {
+        let priority = self.priorities.remove(&control)?;
+        self.order.remove(&(priority, control));
+        Some(priority)
     }
 }
--- a/crates/kumquatquay-core/src/membership/member_table.rs
+++ b/crates/kumquatquay-core/src/membership/member_table.rs
@@ -26,10 +26,10 @@
     views: BTreeMap<DataCentreName, DataCentreView>,
     services: BTreeMap<ServiceName, ServiceMembers>,
     /// Members of the own data centre that were declared gone by others.
-    lost_near: BTreeSet<SocketAddr>,
+    declared_gone_local: BTreeSet<SocketAddr>,
     live_version: u64,
     gone_count: usize,
-    changed: Duration,
+    last_changed_at: Duration,
 }
 
 /// One member and what this node adds to its record.
@@ -37,9 +37,9 @@
 struct Member {
     record: MemberRecord,
     digest: TableDigest,
-    since: Duration,
+    takes_calls_since: Duration,
     /// When the state, revision or incarnation last changed here.
-    changed: Duration,
+    changed_at: Duration,
 }
 
 /// Members that take calls of one service.
@@ -51,9 +51,9 @@
 
 /// How this node came to know a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum RecordSource {
     /// As news: the member does now what it did not do before.
-    News,
+    Gossip,
     /// From a whole table: the member may have done so for long.
     Table,
 }
@@ -66,12 +66,12 @@
             own_data_centre: settings.data_centre.clone(),
             views: BTreeMap::new(),
             services: BTreeMap::new(),
-            lost_near: BTreeSet::new(),
+            declared_gone_local: BTreeSet::new(),
             live_version: 0,
             gone_count: 0,
-            changed: Duration::ZERO,
+            last_changed_at: Duration::ZERO,
         };
-        table.put(Duration::ZERO, own_record(settings), Source::News);
+        table.put(Duration::ZERO, own_record(settings), RecordSource::Gossip);
         table
     }
 
@@ -89,7 +89,7 @@
     /// node knew it.
     pub(crate) fn takes_calls_since(&self, control: SocketAddr) -> Option<Duration> {
         let member = self.members.get(&control)?;
-        takes_calls(member.record.state).then_some(member.since)
+        takes_calls(member.record.state).then_some(member.takes_calls_since)
     }
 
     /// This node's own record.
@@ -114,18 +114,18 @@
     }
 
     /// When a member's state, revision or incarnation last changed here.
-    pub(crate) fn changed(&self) -> Duration {
-        self.changed
+    pub(crate) fn last_changed_at(&self) -> Duration {
+        self.last_changed_at
     }
 
     /// When one member last changed here.
-    pub(super) fn changed_at(&self, control: SocketAddr) -> Option<Duration> {
-        self.members.get(&control).map(|member| member.changed)
+    pub(super) fn member_changed_at(&self, control: SocketAddr) -> Option<Duration> {
+        self.members.get(&control).map(|member| member.changed_at)
     }
 
     /// Members of the own data centre that were declared gone and may be alive.
-    pub(super) fn lost_near(&self) -> &BTreeSet<SocketAddr> {
-        &self.lost_near
+    pub(super) fn declared_gone_local(&self) -> &BTreeSet<SocketAddr> {
+        &self.declared_gone_local
     }
 
     /// The own data centre.
@@ -165,14 +165,14 @@
         let members = self.members.values();
         let gone = members.filter(|member| member.record.state == MemberState::Gone);
         let mut gone: Vec<_> = gone
-            .map(|member| (member.changed, member.record.control))
+            .map(|member| (member.changed_at, member.record.control))
             .filter(|(_, control)| *control != self.own)
             .collect();
         gone.sort_unstable();
         let excess_count = gone.len().saturating_sub(limit_count);
         for (place, (changed, control)) in gone.into_iter().enumerate() {
             if place < excess_count || now >= changed + lifetime {
-                self.take_out(control, &mut BTreeSet::new());
+                self.remove(control, &mut BTreeSet::new());
             }
         }
     }
@@ -182,29 +182,34 @@
         let members = self.members.values();
         let there = members.filter(|member| member.record.data_centre == *data_centre);
         let there: Vec<SocketAddr> = there.map(|member| member.record.control).collect();
-        let mut touched = BTreeSet::new();
+        let mut affected_services = BTreeSet::new();
         for control in there {
-            self.take_out(control, &mut touched);
+            self.remove(control, &mut affected_services);
         }
         self.live_version += 1;
-        for service in touched {
-            self.rebuild(&service);
+        for service in affected_services {
+            self.rebuild_candidates(&service);
         }
     }
 
     /// Takes a record in place of the one that is known.
-    pub(crate) fn put(&mut self, now: Duration, record: MemberRecord, source: Source) {
+    pub(crate) fn put(&mut self, now: Duration, record: MemberRecord, source: RecordSource) {
         self.put_all(now, vec![record], source);
     }
 
     /// [`MemberTable::put`] for many records at the cost of one look at each service.
-    pub(crate) fn put_all(&mut self, now: Duration, records: Vec<MemberRecord>, source: Source) {
-        let mut touched = BTreeSet::new();
+    pub(crate) fn put_all(
+        &mut self,
+        now: Duration,
+        records: Vec<MemberRecord>,
+        source: RecordSource,
+    ) {
+        let mut affected_services = BTreeSet::new();
         for record in records {
-            self.put_record(now, record, source, &mut touched);
+            self.put_record(now, record, source, &mut affected_services);
         }
-        for service in touched {
-            self.rebuild(&service);
+        for service in affected_services {
+            self.rebuild_candidates(&service);
         }
     }
 
@@ -212,29 +217,29 @@
         &mut self,
         now: Duration,
         record: MemberRecord,
-        source: Source,
-        touched: &mut BTreeSet<ServiceName>,
+        source: RecordSource,
+        affected_services: &mut BTreeSet<ServiceName>,
     ) {
-        let old = self.take_out(record.control, touched);
+        let old = self.remove(record.control, affected_services);
         let member = Member {
             digest: record.digest(),
-            since: since(old.as_ref(), &record, now, source),
-            changed: changed(old.as_ref(), &record, now),
+            takes_calls_since: takes_calls_since(old.as_ref(), &record, now, source),
+            changed_at: changed_at(old.as_ref(), &record, now),
             record,
         };
         if is_live(old.as_ref()) != is_live(Some(&member)) {
             self.live_version += 1;
         }
-        self.changed = self.changed.max(member.changed);
-        self.take_in(member, touched);
+        self.last_changed_at = self.last_changed_at.max(member.changed_at);
+        self.insert(member, affected_services);
     }
 
-    fn take_in(&mut self, member: Member, touched: &mut BTreeSet<ServiceName>) {
+    fn insert(&mut self, member: Member, affected_services: &mut BTreeSet<ServiceName>) {
         let record = &member.record;
         if record.state == MemberState::Gone {
             self.gone_count += 1;
             if record.is_suspect && record.data_centre == self.own_data_centre {
-                self.lost_near.insert(record.control);
+                self.declared_gone_local.insert(record.control);
             }
         } else {
             let view = self.views.entry(record.data_centre.clone()).or_default();
@@ -243,21 +248,21 @@
         if let (Some(service), true) = (&record.service, takes_calls(record.state)) {
             let members = self.services.entry(service.clone()).or_default();
             members.controls.insert(record.control);
-            touched.insert(service.clone());
+            affected_services.insert(service.clone());
         }
         self.members.insert(record.control, member);
     }
 
-    fn take_out(
+    fn remove(
         &mut self,
         control: SocketAddr,
-        touched: &mut BTreeSet<ServiceName>,
+        affected_services: &mut BTreeSet<ServiceName>,
     ) -> Option<Member> {
         let member = self.members.remove(&control)?;
         let record = &member.record;
         if record.state == MemberState::Gone {
             self.gone_count -= 1;
-            self.lost_near.remove(&control);
+            self.declared_gone_local.remove(&control);
         } else if let Some(view) = self.views.get_mut(&record.data_centre) {
             view.remove(control, member.digest);
         }
@@ -265,12 +270,12 @@
             && let Some(members) = self.services.get_mut(service)
             && members.controls.remove(&control)
         {
-            touched.insert(service.clone());
+            affected_services.insert(service.clone());
         }
         Some(member)
     }
 
-    fn rebuild(&mut self, service: &ServiceName) {
+    fn rebuild_candidates(&mut self, service: &ServiceName) {
         let Some(members) = self.services.get_mut(service) else {
             return;
         };
@@ -284,7 +289,7 @@
             .map(|control| &self.members[control]);
         let own = &self.own_data_centre;
         let mut candidates: Vec<Candidate> = known
-            .map(|member| Candidate::new(&member.record, member.since, own))
+            .map(|member| Candidate::new(&member.record, member.takes_calls_since, own))
             .collect();
         candidates.sort_by_key(|candidate| (!candidate.is_own_data_centre, candidate.control));
         members.candidates = candidates;
@@ -295,7 +300,7 @@
         let mut record = self.own().clone();
         change(&mut record);
         record.revision += 1;
-        self.put(now, record, Source::News);
+        self.put(now, record, RecordSource::Gossip);
     }
 }
 
@@ -314,23 +319,28 @@
     }
 }
 
-fn since(old: Option<&Member>, record: &MemberRecord, now: Duration, source: Source) -> Duration {
+fn takes_calls_since(
+    old: Option<&Member>,
+    record: &MemberRecord,
+    now: Duration,
+    source: RecordSource,
+) -> Duration {
     let same_life = old.filter(|old| {
         takes_calls(old.record.state)
             && old.record.incarnation == record.incarnation
             && old.record.service == record.service
     });
     match (same_life, source) {
-        (Some(old), _) => old.since,
-        (None, Source::News) => now,
-        (None, Source::Table) => Duration::ZERO,
+        (Some(old), _) => old.takes_calls_since,
+        (None, RecordSource::Gossip) => now,
+        (None, RecordSource::Table) => Duration::ZERO,
     }
 }
 
-fn changed(old: Option<&Member>, record: &MemberRecord, now: Duration) -> Duration {
+fn changed_at(old: Option<&Member>, record: &MemberRecord, now: Duration) -> Duration {
     let key = |record: &MemberRecord| (record.incarnation, record.revision, record.state);
     match old {
-        Some(old) if key(&old.record) == key(record) => old.changed,
+        Some(old) if key(&old.record) == key(record) => old.changed_at,
         _ => now,
     }
 }
--- a/crates/kumquatquay-core/src/membership/merge.rs
+++ b/crates/kumquatquay-core/src/membership/merge.rs
@@ -2,7 +2,7 @@
 
 use kumquatquay_wire::{Incarnation, MemberRecord, MemberState, MemberStatus};
 
-use super::{carrier, gossip, gossip_queue::Urgency, member_table::Source, sender};
+use super::{data_centre_relay, gossip, gossip_queue::Urgency, member_table::RecordSource, sender};
 use crate::{Blackboard, Counter, Moment, Note, Output};
 
 /// Takes in news of a member, if it is newer than what is known.
@@ -16,12 +16,15 @@
         on_own_record(board, now, &record, out);
         return;
     }
-    let record = as_seen_here(board, record);
+    let record = accepted_record(board, record);
     if is_newer(board, now, &record) {
-        take_in(board, now, record);
+        apply_record(board, now, record);
     } else if board.members.get(record.control) == Some(&record) {
-        let limit = sender::tells_limit(board);
-        board.membership.gossip.told(record.control, limit);
+        let limit = sender::transmit_limit(board);
+        board
+            .membership
+            .gossip_queue
+            .count_transmit(record.control, limit);
     }
 }
 
@@ -54,31 +57,35 @@
     board: &mut Blackboard,
     now: Moment,
     records: Vec<MemberRecord>,
-    told_on_limit_count: usize,
+    forward_limit_count: usize,
     out: &mut Vec<Output>,
 ) {
     let own = board.settings.control;
     let (own_records, others): (Vec<_>, Vec<_>) = records
         .into_iter()
         .partition(|record| record.control == own);
-    let others = others.into_iter().map(|record| as_seen_here(board, record));
+    let others = others
+        .into_iter()
+        .map(|record| accepted_record(board, record));
     let newer = others.filter(|record| is_newer(board, now, record));
     let newer: Vec<_> = newer.collect();
-    if newer.len() <= told_on_limit_count {
+    if newer.len() <= forward_limit_count {
         for record in newer {
-            take_in(board, now, record);
+            apply_record(board, now, record);
         }
     } else {
-        for record in newer.iter().filter(|record| is_doubted(record)) {
+        for record in newer.iter().filter(|record| is_suspected(record)) {
             board
                 .membership
                 .suspicions
                 .add(now.monotonic, record.control);
         }
-        for record in newer.iter().filter(|record| !is_doubted(record)) {
+        for record in newer.iter().filter(|record| !is_suspected(record)) {
             board.membership.suspicions.remove(record.control);
         }
-        board.members.put_all(now.monotonic, newer, Source::Table);
+        board
+            .members
+            .put_all(now.monotonic, newer, RecordSource::Table);
     }
     for record in own_records {
         on_own_record(board, now, &record, out);
@@ -88,10 +95,10 @@
 /// Whether a record counts more than what is known, and not of a data centre that
 /// is lost: nodes that have not forgotten it yet would bring it back.
 fn is_newer(board: &Blackboard, now: Moment, record: &MemberRecord) -> bool {
-    let far_silence = &board.membership.far_silence;
-    let is_lost = far_silence.is_lost(now.monotonic, &record.data_centre);
+    let data_centre_liveness = &board.membership.data_centre_liveness;
+    let is_expired = data_centre_liveness.is_expired(now.monotonic, &record.data_centre);
     let known = board.members.get(record.control);
-    !is_lost && known.is_none_or(|known| known.rank() < record.rank())
+    !is_expired && known.is_none_or(|known| known.rank() < record.rank())
 }
 
 /// A record as far as this node believes it.
@@ -100,13 +107,13 @@
 /// view is held, a death that others declare is a doubt: they may be the part
 /// that is cut off. A member that leaves says so with a revision of its own,
 /// and is believed.
-fn as_seen_here(board: &Blackboard, mut record: MemberRecord) -> MemberRecord {
+fn accepted_record(board: &Blackboard, mut record: MemberRecord) -> MemberRecord {
     let is_gone = record.state == MemberState::Gone;
-    let is_near = record.data_centre == board.settings.data_centre;
-    if !is_near && !is_gone {
+    let is_local = record.data_centre == board.settings.data_centre;
+    if !is_local && !is_gone {
         record.is_suspect = false;
     }
-    if is_near && is_gone && record.is_suspect && board.membership.suspicions.is_holding() {
+    if is_local && is_gone && record.is_suspect && board.membership.suspicions.is_holding() {
         let known = board.members.get(record.control);
         let same = known.filter(|known| {
             (known.incarnation, known.revision) == (record.incarnation, record.revision)
@@ -116,48 +123,50 @@
     record
 }
 
-fn take_in(board: &mut Blackboard, now: Moment, record: MemberRecord) {
+fn apply_record(board: &mut Blackboard, now: Moment, record: MemberRecord) {
     let control = record.control;
     let known = board.members.get(control);
-    let is_doubt_only = known.is_some_and(|known| {
+    let is_suspicion_only = known.is_some_and(|known| {
         (known.incarnation, known.revision, known.state)
             == (record.incarnation, record.revision, record.state)
     });
-    watch(board, now, &record);
-    if !is_doubt_only && record.data_centre == board.settings.data_centre {
-        carrier::tell(board, control);
+    update_suspicion(board, now, &record);
+    if !is_suspicion_only && record.data_centre == board.settings.data_centre {
+        data_centre_relay::queue_member(board, control);
     }
     let urgency = urgency(&record);
-    board.members.put(now.monotonic, record, Source::News);
-    board.membership.gossip.push(control, urgency);
+    board
+        .members
+        .put(now.monotonic, record, RecordSource::Gossip);
+    board.membership.gossip_queue.push(control, urgency);
 }
 
 fn urgency(record: &MemberRecord) -> Urgency {
     if record.is_suspect || record.state >= MemberState::Draining {
-        Urgency::Now
+        Urgency::High
     } else {
-        Urgency::Soon
+        Urgency::Normal
     }
 }
 
 /// Starts or ends the time that a member has to refute.
-fn watch(board: &mut Blackboard, now: Moment, record: &MemberRecord) {
+fn update_suspicion(board: &mut Blackboard, now: Moment, record: &MemberRecord) {
     let known = board.members.get(record.control);
     let was_live = known.is_some_and(|known| known.state != MemberState::Gone);
-    let is_near = record.data_centre == board.settings.data_centre;
+    let is_local = record.data_centre == board.settings.data_centre;
     let suspicions = &mut board.membership.suspicions;
-    if is_doubted(record) {
+    if is_suspected(record) {
         suspicions.add(now.monotonic, record.control);
         return;
     }
     suspicions.remove(record.control);
-    if is_near && was_live && is_declared_gone(record) {
-        suspicions.died(now.monotonic);
+    if is_local && was_live && is_declared_gone(record) {
+        suspicions.record_death(now.monotonic);
     }
 }
 
 /// Whether a member is suspected and may refute.
-fn is_doubted(record: &MemberRecord) -> bool {
+fn is_suspected(record: &MemberRecord) -> bool {
     record.is_suspect && record.state != MemberState::Gone
 }
 
@@ -174,14 +183,14 @@
     out: &mut Vec<Output>,
 ) {
     let own = board.members.own();
-    let is_earlier_life = (record.incarnation, record.revision) > (own.incarnation, own.revision);
-    if is_earlier_life {
-        rise_above(board, now, record.incarnation, out);
+    let has_earlier_life = (record.incarnation, record.revision) > (own.incarnation, own.revision);
+    if has_earlier_life {
+        raise_incarnation(board, now, record.incarnation, out);
         return;
     }
     let is_current = (record.incarnation, record.revision) == (own.incarnation, own.revision);
-    let is_doubted = record.is_suspect || record.state == MemberState::Gone;
-    if is_current && is_doubted && own.state != MemberState::Gone {
+    let is_suspected = record.is_suspect || record.state == MemberState::Gone;
+    if is_current && is_suspected && own.state != MemberState::Gone {
         board.counters.increment(Counter::SuspicionsRefuted);
         change_own(board, now, |_| {});
     }
@@ -192,7 +201,12 @@
 /// A new host whose clock is behind would be taken for messages of the old one
 /// that arrive late: nobody would send it work. Only this node numbers its own
 /// records, so a higher number means an earlier life.
-fn rise_above(board: &mut Blackboard, now: Moment, earlier: Incarnation, out: &mut Vec<Output>) {
+fn raise_incarnation(
+    board: &mut Blackboard,
+    now: Moment,
+    earlier: Incarnation,
+    out: &mut Vec<Output>,
+) {
     let incarnation = earlier.saturating_add(1);
     let detail = format!("an earlier life had incarnation {earlier}; this one is {incarnation}");
     out.push(Output::Note(Note::warn("incarnation_raised", detail)));
@@ -207,9 +221,9 @@
     change: impl FnOnce(&mut MemberRecord),
 ) {
     board.members.change_own(now.monotonic, change);
-    board.membership.own_changed = now.monotonic;
+    board.membership.own_changed_at = now.monotonic;
     let own = board.settings.control;
-    board.membership.gossip.push(own, Urgency::Now);
-    carrier::tell(board, own);
-    gossip::hurry(board);
+    board.membership.gossip_queue.push(own, Urgency::High);
+    data_centre_relay::queue_member(board, own);
+    gossip::gossip_immediately(board);
 }
--- a/crates/kumquatquay-core/src/membership/prober.rs
+++ b/crates/kumquatquay-core/src/membership/prober.rs
@@ -28,21 +28,21 @@
 const RECONNECT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Members whose last result is remembered.
-const RESULTS_COUNT: usize = 8;
+const RESULTS_LIMIT_COUNT: usize = 8;
 
 /// How long a result counts; a member that died earlier is no part of a silence
 /// that begins now.
 const RESULT_LIFETIME: Duration = Duration::from_secs(10);
 
 /// The fewest silent members that speak for a fault of the own network.
-const SILENT_LEAST_COUNT: usize = 2;
+const SILENT_MIN_COUNT: usize = 2;
 
 /// Probes for others that are under way; more are not taken on.
-const RELAYS_LIMIT_COUNT: usize = 64;
+const RELAYED_PROBES_LIMIT_COUNT: usize = 64;
 
 /// During a mass silence only every so-manieth probe goes to a silent member,
 /// so that the others are still watched.
-const SILENT_PROBE_SHARE: u32 = 4;
+const SILENT_PROBE_INTERVAL_COUNT: u32 = 4;
 
 /// Probes under way.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
     probe: Option<Probe>,
     probes_count: u32,
     results: VecDeque<ProbeResult>,
-    relays: BTreeMap<Sequence, Relay>,
+    relayed_probes: BTreeMap<Sequence, RelayedProbe>,
 }
 
 /// The probe that waits for its answer.
@@ -62,7 +62,7 @@
 struct Probe {
     id: Sequence,
     target: SocketAddr,
-    sent: Duration,
+    sent_at: Duration,
     is_indirect: bool,
     is_answered: bool,
 }
@@ -71,13 +71,13 @@
 #[derive(Debug)]
 struct ProbeResult {
     target: SocketAddr,
-    ended: Duration,
+    ended_at: Duration,
     is_answered: bool,
 }
 
 /// A probe on behalf of another node.
 #[derive(Debug)]
-struct Relay {
+struct RelayedProbe {
     asker: SocketAddr,
     asker_probe: Sequence,
     until: Duration,
@@ -90,28 +90,28 @@
     /// A third, which is the measure for what all nodes find together, is met by
     /// chance among so few when one rack dies. One member that is dead is probed
     /// again and again in a small data centre, so members are counted, not probes.
-    pub(super) fn sees_silence(&self, now: Duration) -> bool {
+    pub(super) fn suspects_own_network(&self, now: Duration) -> bool {
         let results = self.results.iter();
-        let recent = results.filter(|result| now < result.ended + RESULT_LIFETIME);
+        let recent = results.filter(|result| now < result.ended_at + RESULT_LIFETIME);
         let (silent, answered): (Vec<_>, Vec<_>) = recent.partition(|result| !result.is_answered);
-        silent.len() >= SILENT_LEAST_COUNT && silent.len() > answered.len()
+        silent.len() >= SILENT_MIN_COUNT && silent.len() > answered.len()
     }
 
-    fn remember(&mut self, target: SocketAddr, ended: Duration, is_answered: bool) {
+    fn record_result(&mut self, target: SocketAddr, ended_at: Duration, is_answered: bool) {
         self.results.retain(|result| result.target != target);
         self.results.push_back(ProbeResult {
             target,
-            ended,
+            ended_at,
             is_answered,
         });
-        if self.results.len() > RESULTS_COUNT {
+        if self.results.len() > RESULTS_LIMIT_COUNT {
             self.results.pop_front();
         }
     }
 }
 
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    ask_others(board, now, out);
+    send_indirect_pings(board, now, out);
     let first = board.membership.prober.next_probe;
     let due = first.unwrap_or_else(|| now.monotonic + first_wait(board));
     if now.monotonic < due {
@@ -119,15 +119,15 @@
         return;
     }
     board.membership.prober.next_probe = Some((due + PROBE_INTERVAL).max(now.monotonic));
-    conclude(board, now, out);
-    start(board, now, out);
+    finish_probe(board, now, out);
+    start_probe(board, now, out);
     reconnect(board, now, out);
-    let relays = &mut board.membership.prober.relays;
-    relays.retain(|_, relay| relay.until > now.monotonic);
+    let relayed_probes = &mut board.membership.prober.relayed_probes;
+    relayed_probes.retain(|_, relay| relay.until > now.monotonic);
 }
 
 /// Forgets the probe under way: its answer may have come unread.
-pub(super) fn forget_probe(board: &mut Blackboard) {
+pub(super) fn cancel_probe(board: &mut Blackboard) {
     board.membership.prober.probe = None;
 }
 
@@ -136,7 +136,7 @@
     PROBE_INTERVAL.mul_f64(board.random.random())
 }
 
-fn start(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn start_probe(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let Some(target) = next_target(board) else {
         return;
     };
@@ -144,7 +144,7 @@
     board.membership.prober.probe = Some(Probe {
         id,
         target,
-        sent: now.monotonic,
+        sent_at: now.monotonic,
         is_indirect: false,
         is_answered: false,
     });
@@ -160,7 +160,7 @@
 ) {
     let digest = board.members.digest();
     let body = ControlBody::Ping { probe, digest };
-    sender::send_near(board, now, target, body, out);
+    sender::send_local(board, now, target, body, out);
 }
 
 /// A name that no recorded answer fits.
@@ -173,8 +173,8 @@
 fn next_target(board: &mut Blackboard) -> Option<SocketAddr> {
     board.membership.prober.probes_count += 1;
     let probes_count = board.membership.prober.probes_count;
-    let is_silent_turn = probes_count.is_multiple_of(SILENT_PROBE_SHARE);
-    let skips_suspects = board.membership.suspicions.is_holding() && !is_silent_turn;
+    let probes_suspects = probes_count.is_multiple_of(SILENT_PROBE_INTERVAL_COUNT);
+    let skips_suspects = board.membership.suspicions.is_holding() && !probes_suspects;
     for _ in 0..2 {
         while let Some(target) = board.membership.prober.order.pop() {
             if is_target(board, target, skips_suspects) {
@@ -202,33 +202,33 @@
 
 /// Asks others to probe a member that did not answer this node in time: the way
 /// between the two may be the only thing that is broken.
-fn ask_others(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn send_indirect_pings(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let Some(probe) = &mut board.membership.prober.probe else {
         return;
     };
-    let is_late = now.monotonic >= probe.sent + DIRECT_TIMEOUT;
+    let is_late = now.monotonic >= probe.sent_at + DIRECT_TIMEOUT;
     if probe.is_answered || probe.is_indirect || !is_late {
         return;
     }
     probe.is_indirect = true;
     let (probe, target) = (probe.id, probe.target);
-    let mut helpers = gossip::some_near(board, INDIRECT_COUNT + 1);
+    let mut helpers = gossip::random_local_members(board, INDIRECT_COUNT + 1);
     helpers.retain(|helper| *helper != target);
     helpers.truncate(INDIRECT_COUNT);
     for helper in helpers {
         let body = ControlBody::IndirectPing { probe, target };
-        sender::send_near(board, now, helper, body, out);
+        sender::send_local(board, now, helper, body, out);
     }
 }
 
-fn conclude(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+fn finish_probe(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let Some(probe) = board.membership.prober.probe.take() else {
         return;
     };
     board
         .membership
         .prober
-        .remember(probe.target, now.monotonic, probe.is_answered);
+        .record_result(probe.target, now.monotonic, probe.is_answered);
     if !probe.is_answered {
         board.counters.increment(Counter::ProbesFailed);
         suspicion::suspect(board, now, probe.target, out);
@@ -245,7 +245,7 @@
     let seeds = seed_log::all_seeds(board);
     let seeds = seeds.into_iter();
     let seeds = seeds.filter(|seed| board.members.get(*seed).is_none());
-    let lost = board.members.lost_near().iter().copied();
+    let lost = board.members.declared_gone_local().iter().copied();
     let unknown = lost.chain(seeds);
     if let Some(target) = unknown.choose(&mut board.random) {
         let id = probe_id(board);
@@ -261,25 +261,25 @@
     target: SocketAddr,
     out: &mut Vec<Output>,
 ) {
-    if board.membership.prober.relays.len() >= RELAYS_LIMIT_COUNT {
+    if board.membership.prober.relayed_probes.len() >= RELAYED_PROBES_LIMIT_COUNT {
         return;
     }
     let id = probe_id(board);
-    let relay = Relay {
+    let relay = RelayedProbe {
         asker,
         asker_probe,
         until: now.monotonic + PROBE_INTERVAL,
     };
-    board.membership.prober.relays.insert(id, relay);
+    board.membership.prober.relayed_probes.insert(id, relay);
     ping(board, now, target, id, out);
 }
 
 pub(super) fn on_ack(board: &mut Blackboard, now: Moment, probe: Sequence, out: &mut Vec<Output>) {
-    if let Some(relay) = board.membership.prober.relays.remove(&probe) {
+    if let Some(relay) = board.membership.prober.relayed_probes.remove(&probe) {
         let body = ControlBody::Ack {
             probe: relay.asker_probe,
         };
-        sender::send_near(board, now, relay.asker, body, out);
+        sender::send_local(board, now, relay.asker, body, out);
         return;
     }
     if let Some(own) = &mut board.membership.prober.probe
--- a/crates/kumquatquay-core/src/membership/replay_windows.rs
+++ b/crates/kumquatquay-core/src/membership/replay_windows.rs
@@ -28,7 +28,7 @@
     highest: Sequence,
     /// Bit `n` stands for the number `highest - n`.
     seen: u128,
-    heard: Duration,
+    last_seen: Duration,
 }
 
 impl ReplayWindows {
@@ -43,7 +43,7 @@
     pub(super) fn check(&mut self, now: Duration, datagram: &Datagram) -> Freshness {
         let sender = datagram.sender;
         let Some(window) = self.windows.get_mut(&sender) else {
-            self.make_room();
+            self.evict_if_full();
             self.windows
                 .insert(sender, ReplayWindow::new(now, datagram));
             return Freshness::Fresh;
@@ -58,11 +58,14 @@
         window.check(now, datagram.sequence)
     }
 
-    fn make_room(&mut self) {
+    fn evict_if_full(&mut self) {
         if self.windows.len() < Self::LIMIT_COUNT {
             return;
         }
-        let silent = self.windows.iter().min_by_key(|(_, window)| window.heard);
+        let silent = self
+            .windows
+            .iter()
+            .min_by_key(|(_, window)| window.last_seen);
         if let Some((&sender, _)) = silent {
             self.windows.remove(&sender);
         }
@@ -75,7 +78,7 @@
             incarnation: datagram.incarnation,
             highest: datagram.sequence,
             seen: 1,
-            heard: now,
+            last_seen: now,
         }
     }
 
@@ -85,7 +88,7 @@
             let shift = u32::try_from(ahead).unwrap_or(u32::MAX);
             self.seen = self.seen.checked_shl(shift).unwrap_or(0) | 1;
             self.highest = sequence;
-            self.heard = now;
+            self.last_seen = now;
             return Freshness::Fresh;
         }
         let behind = self.highest - sequence;
--- a/crates/kumquatquay-core/src/membership/seed_log.rs
+++ b/crates/kumquatquay-core/src/membership/seed_log.rs
@@ -8,7 +8,7 @@
 
 use kumquatquay_wire::{LogOffset, MeshKey};
 
-use super::carrier;
+use super::data_centre_relay;
 use crate::{
     AppendId, Blackboard, LogInput, LogRecord, Moment, Output, ReadId,
     routed::{EraChange, EraTracker},
@@ -163,7 +163,7 @@
     }
     seeds.next_append = Some(now.monotonic + APPEND_INTERVAL);
     let is_alone = board.members.live_count() <= 1;
-    if is_alone || board.members.is_leaving() || !carrier::is_carrier_to(board, STREAM) {
+    if is_alone || board.members.is_leaving() || !data_centre_relay::is_relay_to(board, STREAM) {
         return;
     }
     let append = board.next_id();
--- a/crates/kumquatquay-core/src/membership/sender.rs
+++ b/crates/kumquatquay-core/src/membership/sender.rs
@@ -11,7 +11,7 @@
 ///
 /// A refutation must be in the answer to the very probe that carried the doubt;
 /// in the queue it could wait behind the news of a mass failure.
-const OWN_CHANGE_LEADS: Duration = Duration::from_secs(5);
+const OWN_CHANGE_PRIORITY_TIME: Duration = Duration::from_secs(5);
 
 /// Bytes of a datagram without rumours, at most.
 const FRAME_BYTES: usize = 150;
@@ -21,21 +21,21 @@
 
 /// Times that each node tells a piece of news or hears it again, for each
 /// doubling of the members.
-const TELLS_PER_DOUBLING: u32 = 3;
+const TRANSMITS_PER_DOUBLING: u32 = 3;
 
 /// Sends a message to a member of the own data centre, with news on board.
-pub(super) fn send_near(
+pub(super) fn send_local(
     board: &mut Blackboard,
     now: Moment,
     to: SocketAddr,
     body: ControlBody,
     out: &mut Vec<Output>,
 ) {
-    send_news(board, now, to, body, &[], out);
+    send_local_with(board, now, to, body, &[], out);
 }
 
 /// [`send_near`], with other rumours behind the news of members, as many as fit.
-pub(super) fn send_news(
+pub(super) fn send_local_with(
     board: &mut Blackboard,
     now: Moment,
     to: SocketAddr,
@@ -43,20 +43,20 @@
     others: &[Rumour],
     out: &mut Vec<Output>,
 ) {
-    let mut room = Room::new();
-    lead(board, now, to, &mut room);
-    let told = queued(board, now, to, &mut room);
-    let limit = tells_limit(board);
-    for control in told {
-        board.membership.gossip.told(control, limit);
+    let mut batch = RumourBatch::new();
+    add_priority_rumours(board, now, to, &mut batch);
+    let members = add_queued_rumours(board, now, to, &mut batch);
+    let limit = transmit_limit(board);
+    for control in members {
+        board.membership.gossip_queue.count_transmit(control, limit);
     }
-    room.fill(others, &mut board.membership.other_budget, now);
-    emit(board, to, body, room.rumours, out);
+    batch.add_within_budget(others, &mut board.membership.other_budget, now);
+    push_datagram(board, to, body, batch.rumours, out);
 }
 
 /// Sends news of members to another data centre, as many as fit; says how many
 /// did.
-pub(super) fn send_far(
+pub(super) fn send_remote(
     board: &mut Blackboard,
     now: Moment,
     to: SocketAddr,
@@ -64,25 +64,25 @@
     rumours: &[Rumour],
     out: &mut Vec<Output>,
 ) -> usize {
-    let mut room = Room::new();
-    lead(board, now, to, &mut room);
-    let count = room.fill(rumours, &mut board.membership.member_budget, now);
-    emit(board, to, body, room.rumours, out);
+    let mut batch = RumourBatch::new();
+    add_priority_rumours(board, now, to, &mut batch);
+    let count = batch.add_within_budget(rumours, &mut board.membership.member_budget, now);
+    push_datagram(board, to, body, batch.rumours, out);
     count
 }
 
 /// Sends rumours of other concerns at once, as many as fit.
-pub(crate) fn send_others(
+pub(crate) fn send_other_rumours(
     board: &mut Blackboard,
     now: Moment,
     to: SocketAddr,
     others: &[Rumour],
     out: &mut Vec<Output>,
 ) {
-    let mut room = Room::new();
-    lead(board, now, to, &mut room);
-    if room.fill(others, &mut board.membership.other_budget, now) > 0 {
-        emit(board, to, ControlBody::News, room.rumours, out);
+    let mut batch = RumourBatch::new();
+    add_priority_rumours(board, now, to, &mut batch);
+    if batch.add_within_budget(others, &mut board.membership.other_budget, now) > 0 {
+        push_datagram(board, to, ControlBody::News, batch.rumours, out);
     }
 }
 
@@ -101,41 +101,50 @@
 
 /// Puts what the receiver must hear first: the version in force, doubts about
 /// itself, and this node's own change.
-fn lead(board: &Blackboard, now: Moment, to: SocketAddr, room: &mut Room) {
+fn add_priority_rumours(board: &Blackboard, now: Moment, to: SocketAddr, batch: &mut RumourBatch) {
     if let Some(version) = configuration::version_to_gossip(board) {
-        room.add(Rumour::Configuration(version));
+        batch.add(Rumour::Configuration(version));
     }
     let known = board.members.get(to);
     if let Some(known) = known
         && (known.is_suspect || known.state == MemberState::Gone)
     {
-        room.add(rumour_of(known));
+        batch.add(rumour_of(known));
     }
-    if now.monotonic < board.membership.own_changed + OWN_CHANGE_LEADS {
-        room.add(Rumour::Member(board.members.own().clone()));
+    if now.monotonic < board.membership.own_changed_at + OWN_CHANGE_PRIORITY_TIME {
+        batch.add(Rumour::Member(board.members.own().clone()));
     }
 }
 
 /// News of members that are queued and fit; says of whom.
-fn queued(board: &mut Blackboard, now: Moment, to: SocketAddr, room: &mut Room) -> Vec<SocketAddr> {
-    let queue = board.membership.gossip.next().take(RUMOURS_LIMIT_COUNT);
+fn add_queued_rumours(
+    board: &mut Blackboard,
+    now: Moment,
+    to: SocketAddr,
+    batch: &mut RumourBatch,
+) -> Vec<SocketAddr> {
+    let queue = board
+        .membership
+        .gossip_queue
+        .next()
+        .take(RUMOURS_LIMIT_COUNT);
     let others = queue.filter(|control| *control != to);
     let records = others.filter_map(|control| board.members.get(control));
-    let (told, rumours): (Vec<_>, Vec<_>) = records
+    let (members, rumours): (Vec<_>, Vec<_>) = records
         .map(|record| (record.control, rumour_of(record)))
         .unzip();
-    let count = room.fill(&rumours, &mut board.membership.member_budget, now);
-    told.into_iter().take(count).collect()
+    let count = batch.add_within_budget(&rumours, &mut board.membership.member_budget, now);
+    members.into_iter().take(count).collect()
 }
 
 /// Times that a piece of news is told by this node or to it: enough for all to hear it with
 /// high probability, also when a tenth of the datagrams is lost.
-pub(super) fn tells_limit(board: &Blackboard) -> u32 {
+pub(super) fn transmit_limit(board: &Blackboard) -> u32 {
     let members_count = board.members.own_view().live().len();
-    TELLS_PER_DOUBLING * (members_count + 1).next_power_of_two().ilog2()
+    TRANSMITS_PER_DOUBLING * (members_count + 1).next_power_of_two().ilog2()
 }
 
-fn emit(
+fn push_datagram(
     board: &mut Blackboard,
     to: SocketAddr,
     body: ControlBody,
@@ -154,12 +163,12 @@
 }
 
 /// Rumours of one datagram and the bytes that they take.
-struct Room {
+struct RumourBatch {
     rumours: Vec<Rumour>,
     bytes: usize,
 }
 
-impl Room {
+impl RumourBatch {
     fn new() -> Self {
         Self {
             rumours: Vec::new(),
@@ -169,7 +178,12 @@
 
     /// Adds rumours in their order, as far as they and the budget reach; says
     /// how many.
-    fn fill(&mut self, rumours: &[Rumour], budget: &mut ByteBudget, now: Moment) -> usize {
+    fn add_within_budget(
+        &mut self,
+        rumours: &[Rumour],
+        budget: &mut ByteBudget,
+        now: Moment,
+    ) -> usize {
         if rumours.is_empty() {
             return 0;
         }
--- a/crates/kumquatquay-core/src/membership/state.rs
+++ b/crates/kumquatquay-core/src/membership/state.rs
@@ -3,9 +3,10 @@
 use std::{net::SocketAddr, time::Duration};
 
 use super::{
-    bulk_sync::BulkSync, byte_budget::ByteBudget, carrier::Carrier, far_silence::FarSilence,
-    gossip::Gossip, gossip_queue::GossipQueue, leaving::Leaving, prober::Prober,
-    replay_windows::ReplayWindows, seed_log::SeedLog, suspicion::Suspicions,
+    bulk_sync::BulkSync, byte_budget::ByteBudget, data_centre_liveness::DataCentreLiveness,
+    data_centre_relay::DataCentreRelay, draining::DrainState, gossip::GossipRounds,
+    gossip_queue::GossipQueue, prober::Prober, replay_windows::ReplayWindows, seed_log::SeedLog,
+    suspicion::Suspicions,
 };
 use crate::Announcement;
 
@@ -26,19 +27,19 @@
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// What the backend server of this host last said of itself, while it lives.
-    pub(super) announced: Option<Announcement>,
+    pub(super) announcement: Option<Announcement>,
     /// Whether and why this host leaves.
-    pub(super) leaving: Leaving,
+    pub(super) drain_state: DrainState,
     /// When the last tick was.
     pub(super) last_tick: Option<Duration>,
     /// Number of the last datagram sent.
     pub(super) last_sequence: u64,
     /// When this node's own record last changed.
-    pub(super) own_changed: Duration,
+    pub(super) own_changed_at: Duration,
     /// Members whose news is still to be spread.
-    pub(crate) gossip: GossipQueue,
+    pub(crate) gossip_queue: GossipQueue,
     /// When and what else is spread.
-    pub(super) rounds: Gossip,
+    pub(super) gossip_rounds: GossipRounds,
     /// When members that are gone are forgotten next.
     pub(super) next_forget: Duration,
     /// When a sender may next be told that its incarnation is too low.
@@ -48,15 +49,15 @@
     /// Limit on other news.
     pub(super) other_budget: ByteBudget,
     /// Datagrams taken in already.
-    pub(super) windows: ReplayWindows,
+    pub(super) replay_windows: ReplayWindows,
     /// Probes under way.
     pub(super) prober: Prober,
     /// Members that do not answer.
     pub(crate) suspicions: Suspicions,
     /// Other data centres that this node tells of its own.
-    pub(crate) carrier: Carrier,
+    pub(crate) relay: DataCentreRelay,
     /// When other data centres were last heard.
-    pub(super) far_silence: FarSilence,
+    pub(super) data_centre_liveness: DataCentreLiveness,
     /// Seeds in the platform's log.
     pub(super) seed_log: SeedLog,
     /// Exchange of whole tables.
@@ -66,22 +67,22 @@
 impl Default for Membership {
     fn default() -> Self {
         Self {
-            announced: None,
-            leaving: Leaving::default(),
+            announcement: None,
+            drain_state: DrainState::default(),
             last_tick: None,
             last_sequence: 0,
-            own_changed: Duration::ZERO,
-            gossip: GossipQueue::default(),
-            rounds: Gossip::default(),
+            own_changed_at: Duration::ZERO,
+            gossip_queue: GossipQueue::default(),
+            gossip_rounds: GossipRounds::default(),
             next_forget: Duration::ZERO,
             next_correction: Duration::ZERO,
             member_budget: ByteBudget::new(MEMBER_RATE_BYTES_PER_S, MEMBER_BURST_BYTES),
             other_budget: ByteBudget::new(OTHER_RATE_BYTES_PER_S, OTHER_BURST_BYTES),
-            windows: ReplayWindows::default(),
+            replay_windows: ReplayWindows::default(),
             prober: Prober::default(),
             suspicions: Suspicions::default(),
-            carrier: Carrier::default(),
-            far_silence: FarSilence::default(),
+            relay: DataCentreRelay::default(),
+            data_centre_liveness: DataCentreLiveness::default(),
             seed_log: SeedLog::default(),
             sync: BulkSync::default(),
         }
--- a/crates/kumquatquay-core/src/membership/suspicion.rs
+++ b/crates/kumquatquay-core/src/membership/suspicion.rs
@@ -21,13 +21,13 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long members must answer again before a mass silence is over.
-const CALM_TIME: Duration = Duration::from_secs(2);
+const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
 /// The longest that the view is held; then the silent members really are gone.
 const HOLD_LIMIT: Duration = Duration::from_secs(15 * 60);
 
 /// The fewest members whose silence is a mass silence.
-const MASS_LEAST_COUNT: usize = 2;
+const MASS_SILENCE_MIN_COUNT: usize = 2;
 
 /// Members that do not answer.
 #[derive(Debug, Default)]
@@ -39,14 +39,14 @@
     next_check: Duration,
     hold: Option<Hold>,
     /// The silence outlasted [`HOLD_LIMIT`] and still goes on.
-    is_hold_spent: bool,
+    is_hold_exhausted: bool,
 }
 
 /// A mass silence that lasts.
 #[derive(Debug)]
 struct Hold {
-    began: Duration,
-    calm_since: Option<Duration>,
+    started_at: Duration,
+    recovering_since: Option<Duration>,
 }
 
 impl Suspicions {
@@ -67,7 +67,7 @@
         self.since.remove(&control);
     }
 
-    pub(super) fn died(&mut self, now: Duration) {
+    pub(super) fn record_death(&mut self, now: Duration) {
         self.forget_deaths(now);
         self.deaths.push_back(now);
     }
@@ -81,7 +81,7 @@
     }
 
     /// Gives every suspect its whole time again.
-    pub(super) fn restart(&mut self, now: Duration) {
+    pub(super) fn restart_timers(&mut self, now: Duration) {
         for since in self.since.values_mut() {
             *since = now;
         }
@@ -94,8 +94,8 @@
 /// at once, the network is the likely cause, and perhaps this node's own.
 /// Declaring them gone would leave both sides of a cut with a part of the view
 /// and the rest of the load.
-fn is_mass(silent_count: usize, others_count: usize) -> bool {
-    silent_count >= MASS_LEAST_COUNT && silent_count * 3 > others_count
+fn is_mass_silence(silent_count: usize, others_count: usize) -> bool {
+    silent_count >= MASS_SILENCE_MIN_COUNT && silent_count * 3 > others_count
 }
 
 /// Doubts that a member is alive, since a probe of this node failed.
@@ -124,47 +124,48 @@
     if board.membership.suspicions.since.is_empty() && !board.membership.suspicions.is_holding() {
         return;
     }
-    judge_silence(board, now, out);
+    update_hold(board, now, out);
     if !board.membership.suspicions.is_holding() {
         declare_gone(board, now, out);
     }
 }
 
-fn judge_silence(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    let is_mass = is_mass_now(board, now);
+fn update_hold(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+    let is_mass_silence = is_mass_silence_now(board, now);
     let suspicions = &mut board.membership.suspicions;
-    suspicions.is_hold_spent &= is_mass;
+    suspicions.is_hold_exhausted &= is_mass_silence;
     match &mut suspicions.hold {
-        None if is_mass && !suspicions.is_hold_spent => begin_hold(board, now, out),
+        None if is_mass_silence && !suspicions.is_hold_exhausted => begin_hold(board, now, out),
         None => {}
-        Some(hold) if now.monotonic >= hold.began + HOLD_LIMIT => {
-            suspicions.is_hold_spent = true;
+        Some(hold) if now.monotonic >= hold.started_at + HOLD_LIMIT => {
+            suspicions.is_hold_exhausted = true;
             end_hold(board, now, "the silence has lasted too long for a cut", out);
         }
-        Some(hold) if is_mass => hold.calm_since = None,
+        Some(hold) if is_mass_silence => hold.recovering_since = None,
         Some(hold) => {
-            let calm_since = *hold.calm_since.get_or_insert(now.monotonic);
-            if now.monotonic >= calm_since + CALM_TIME {
+            let recovering_since = *hold.recovering_since.get_or_insert(now.monotonic);
+            if now.monotonic >= recovering_since + RECOVERY_TIME {
                 end_hold(board, now, "most members answer again", out);
             }
         }
     }
 }
 
-fn is_mass_now(board: &mut Blackboard, now: Moment) -> bool {
+fn is_mass_silence_now(board: &mut Blackboard, now: Moment) -> bool {
     let suspicions = &mut board.membership.suspicions;
     suspicions.forget_deaths(now.monotonic);
     let silent_count = suspicions.since.len() + suspicions.deaths.len();
     let live_count = board.members.own_view().live().len();
     let others_count = live_count.saturating_sub(1) + suspicions.deaths.len();
-    is_mass(silent_count, others_count) || board.membership.prober.sees_silence(now.monotonic)
+    is_mass_silence(silent_count, others_count)
+        || board.membership.prober.suspects_own_network(now.monotonic)
 }
 
 fn begin_hold(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     board.counters.increment(Counter::MassSilences);
     board.membership.suspicions.hold = Some(Hold {
-        began: now.monotonic,
-        calm_since: None,
+        started_at: now.monotonic,
+        recovering_since: None,
     });
     let count = board.membership.suspicions.len();
     let detail = format!("{count} members went silent at once: held as a fault of the network");
@@ -174,7 +175,7 @@
 /// Ends a hold; who is still silent gets a whole suspicion timeout again.
 fn end_hold(board: &mut Blackboard, now: Moment, why: &str, out: &mut Vec<Output>) {
     board.membership.suspicions.hold = None;
-    board.membership.suspicions.restart(now.monotonic);
+    board.membership.suspicions.restart_timers(now.monotonic);
     out.push(Output::Note(Note::info("mass_silence_over", why)));
 }
 
--- a/crates/kumquatquay-core/src/membership/tellings.rs
+++ b/crates/kumquatquay-core/src/membership/transmit_counts.rs
@@ -14,7 +14,7 @@
 
 /// How often an unchanged quarantine record is told again, for members that
 /// joined since.
-const AGAIN: Duration = Duration::from_secs(30);
+const RETRANSMIT_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Quarantine records whose telling is remembered; one that is forgotten is told
 /// again, which is harmless.
@@ -22,21 +22,21 @@
 
 /// How often rumours of other concerns were told to one kind of receivers.
 #[derive(Debug, Default)]
-pub(crate) struct Tellings {
-    quarantine: BTreeMap<(ServiceName, Fingerprint), Telling>,
+pub(crate) struct TransmitCounts {
+    quarantine: BTreeMap<(ServiceName, Fingerprint), RecordTransmits>,
     version: Option<ConfigurationVersion>,
     version_rounds_count: u32,
 }
 
 /// How far one quarantine record is told.
 #[derive(Debug)]
-struct Telling {
+struct RecordTransmits {
     crashes: Vec<Crash>,
     rounds_count: u32,
     last: Duration,
 }
 
-impl Tellings {
+impl TransmitCounts {
     /// What is due in this round: a new version, changed quarantine records,
     /// then levels in random order, so that those that don't fit have their turn.
     pub(super) fn due(&mut self, board: &mut Blackboard, now: Moment) -> Vec<Rumour> {
@@ -71,20 +71,20 @@
             self.quarantine.clear();
         }
         let key = (record.service.clone(), record.fingerprint);
-        let telling = self.quarantine.entry(key).or_insert(Telling {
+        let transmits = self.quarantine.entry(key).or_insert(RecordTransmits {
             crashes: record.crashes.clone(),
             rounds_count: 0,
             last: now,
         });
-        if telling.crashes != record.crashes || now >= telling.last + AGAIN {
-            telling.crashes.clone_from(&record.crashes);
-            telling.rounds_count = 0;
+        if transmits.crashes != record.crashes || now >= transmits.last + RETRANSMIT_INTERVAL {
+            transmits.crashes.clone_from(&record.crashes);
+            transmits.rounds_count = 0;
         }
-        if telling.rounds_count >= ROUNDS_COUNT {
+        if transmits.rounds_count >= ROUNDS_COUNT {
             return false;
         }
-        telling.rounds_count += 1;
-        telling.last = now;
+        transmits.rounds_count += 1;
+        transmits.last = now;
         true
     }
 }
--- a/crates/kumquatquay-core/src/node.rs
+++ b/crates/kumquatquay-core/src/node.rs
@@ -137,7 +137,7 @@
     ///
     /// A host rebuilds the tables that it derives from the members when this changes.
     pub fn members_changed_at(&self) -> Duration {
-        self.board.members.changed()
+        self.board.members.last_changed_at()
     }
 
     /// Digest of the members that are not gone; equal at nodes with the same view.
--- a/crates/kumquatquay-core/src/overload/load_balancing.rs
+++ b/crates/kumquatquay-core/src/overload/load_balancing.rs
@@ -54,7 +54,7 @@
         Self {
             peer: candidate.peer,
             incarnation: candidate.incarnation,
-            slow_start_from: candidate.since,
+            slow_start_from: candidate.takes_calls_since,
         }
     }
 }
@@ -171,7 +171,7 @@
         let endpoint = match overload.endpoints.get(&candidate.peer) {
             Some(endpoint) if !endpoint.has_other_incarnation(candidate.incarnation) => endpoint,
             _ => {
-                fresh = Endpoint::new(candidate.incarnation, candidate.since);
+                fresh = Endpoint::new(candidate.incarnation, candidate.takes_calls_since);
                 &fresh
             }
         };
--- a/crates/kumquatquay-core/src/quarantine/controller.rs
+++ b/crates/kumquatquay-core/src/quarantine/controller.rs
@@ -357,7 +357,7 @@
         .filter(|control| *control != own)
         .collect();
     for to in receivers {
-        membership::send_others(board, now, to, &rumours, out);
+        membership::send_other_rumours(board, now, to, &rumours, out);
     }
 }
 
--- a/crates/kumquatquay-core/src/state_dump.rs
+++ b/crates/kumquatquay-core/src/state_dump.rs
@@ -201,8 +201,8 @@
             live_count: board.members.live_count(),
             gone_count: board.members.gone_count(),
             suspects_count: membership.suspicions.len(),
-            pending_news_count: membership.gossip.len(),
-            carries_to: membership.carrier.carried().cloned().collect(),
+            pending_news_count: membership.gossip_queue.len(),
+            carries_to: membership.relay.relayed_to().cloned().collect(),
             data_centres: board.members.views().map(DataCentreDump::of).collect(),
         }
     }
