--- a/crates/kumquatquay-core/src/routed/host_gate.rs
+++ b/crates/kumquatquay-core/src/routed/host_gate.rs
@@ -414,7 +414,7 @@
         GateReport {
             level_permille: (level * 1_000.0) as u16,
             failed_permille: 0,
-            pace_permille: 0,
+            slowdown_permille: 0,
             running_count: self.running_count as u32,
             waiting_count: self.waiting.len() as u32,
             limit_count: self.effective_limit_count() as u32,
--- a/crates/kumquatquay-core/src/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/src/routed/load_balancer.rs
@@ -526,7 +526,7 @@
 
     /// Mean run time of a call, if the gate has reported it.
     fn reported_run_time_s(&self) -> Option<f64> {
-        let run_time_s = self.report.work().as_secs_f64();
+        let run_time_s = self.report.mean_run_time().as_secs_f64();
         (run_time_s > 0.0).then_some(run_time_s)
     }
 
--- a/crates/kumquatquay-core/src/routed/reported_lives.rs
+++ b/crates/kumquatquay-core/src/routed/reported_lives.rs
@@ -68,7 +68,7 @@
             return None;
         }
         let reported = self.lives.get(&life.instance);
-        reported.filter(|reported| reported.life.may_be(life))
+        reported.filter(|reported| reported.life.may_equal(life))
     }
 
     fn entry(&mut self, now: Duration, life: &BackendLife) -> &mut Reported {
@@ -83,7 +83,7 @@
         }
         let reported = self.lives.entry(life.instance.clone());
         let reported = reported.or_insert_with(|| new.clone());
-        if !reported.life.may_be(life) {
+        if !reported.life.may_equal(life) {
             *reported = new;
         }
         reported.reported_at = now;
--- a/crates/kumquatquay-core/src/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/src/routed/server_rate_limit.rs
@@ -76,7 +76,9 @@
     }
 
     fn matches(&self, life: &BackendLife) -> bool {
-        self.life.as_ref().is_some_and(|known| known.may_be(life))
+        self.life
+            .as_ref()
+            .is_some_and(|known| known.may_equal(life))
     }
 
     /// Updates the limit from an answer of this life, to a run that began at `began`.
--- a/crates/kumquatquay-core/src/routed/service_levels.rs
+++ b/crates/kumquatquay-core/src/routed/service_levels.rs
@@ -53,7 +53,7 @@
         let level_report = LevelReport {
             level: report.level(),
             capacity_per_s: self.capacity_per_s(report),
-            run_time_s: report.work().as_secs_f64(),
+            run_time_s: report.mean_run_time().as_secs_f64(),
             is_rate_limited: report.rate.is_some(),
             reported_at: now,
         };
@@ -67,7 +67,7 @@
     /// A gate that has run no call yet is assumed to have the capacity of the weakest other gate of
     /// its service, and at most its concurrency limit.
     fn capacity_per_s(&self, report: &GateReport) -> f64 {
-        let run_time_s = report.work().as_secs_f64();
+        let run_time_s = report.mean_run_time().as_secs_f64();
         let by_slots = if run_time_s > 0.0 {
             f64::from(report.limit_count) / run_time_s
         } else {
--- a/crates/kumquatquay-core/tests/routed/backend_lives.rs
+++ b/crates/kumquatquay-core/tests/routed/backend_lives.rs
@@ -11,7 +11,7 @@
 
 fn report(instance: &str, sequence: u64, state: LifeState) -> LifeReport {
     LifeReport {
-        life: BackendLife::untold(instance),
+        life: BackendLife::without_start(instance),
         service: String::from("archive"),
         slots_count: 100,
         state,
@@ -45,8 +45,16 @@
         Ok(false)
     );
     assert_eq!(current(&lives), Some("new"));
-    assert!(lives.may_run(at_ms(5_200), Some(&BackendLife::untold("new")), DRAIN));
-    assert!(!lives.may_run(at_ms(5_200), Some(&BackendLife::untold("old")), DRAIN));
+    assert!(lives.may_run(
+        at_ms(5_200),
+        Some(&BackendLife::without_start("new")),
+        DRAIN
+    ));
+    assert!(!lives.may_run(
+        at_ms(5_200),
+        Some(&BackendLife::without_start("old")),
+        DRAIN
+    ));
 }
 
 /// A restarted node receives a report of the new life first, then a delayed one of the old life. It
@@ -80,12 +88,12 @@
     lives
         .on_report(at_ms(1_000), report("a", 2, LifeState::Draining))
         .unwrap();
-    assert!(lives.may_run(at_ms(2_900), Some(&BackendLife::untold("a")), DRAIN));
+    assert!(lives.may_run(at_ms(2_900), Some(&BackendLife::without_start("a")), DRAIN));
     // A further report must not restart the drain.
     lives
         .on_report(at_ms(2_950), report("a", 3, LifeState::Draining))
         .unwrap();
-    assert!(!lives.may_run(at_ms(3_000), Some(&BackendLife::untold("a")), DRAIN));
+    assert!(!lives.may_run(at_ms(3_000), Some(&BackendLife::without_start("a")), DRAIN));
 }
 
 /// A backend server reports that it leaves. A report from before that arrives late and says that it
@@ -106,7 +114,7 @@
     lives
         .on_report(at_ms(1_200), report("a", 4, LifeState::Serving))
         .unwrap();
-    assert!(!lives.may_run(at_ms(3_100), Some(&BackendLife::untold("a")), DRAIN));
+    assert!(!lives.may_run(at_ms(3_100), Some(&BackendLife::without_start("a")), DRAIN));
 }
 
 #[test]
@@ -115,10 +123,10 @@
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
         .unwrap();
-    assert!(lives.on_leave(at_ms(1_000), &BackendLife::untold("a")));
+    assert!(lives.on_leave(at_ms(1_000), &BackendLife::without_start("a")));
     assert_eq!(lives.current().unwrap().state, LifeState::Gone);
-    assert!(lives.may_run(at_ms(1_500), Some(&BackendLife::untold("a")), DRAIN));
-    assert!(!lives.may_run(at_ms(3_000), Some(&BackendLife::untold("a")), DRAIN));
+    assert!(lives.may_run(at_ms(1_500), Some(&BackendLife::without_start("a")), DRAIN));
+    assert!(!lives.may_run(at_ms(3_000), Some(&BackendLife::without_start("a")), DRAIN));
 }
 
 #[test]
@@ -249,7 +257,7 @@
             .on_report(at_ms(0), report_of(life, 1, LifeState::Serving))
             .unwrap();
     }
-    assert!(lives.on_leave(at_ms(1_000), &BackendLife::untold("a")));
+    assert!(lives.on_leave(at_ms(1_000), &BackendLife::without_start("a")));
     assert_eq!(lives.current().unwrap().state, LifeState::Gone);
     assert!(!lives.may_run(at_ms(3_000), Some(&second), DRAIN));
 }
@@ -259,7 +267,7 @@
 #[test]
 fn leaving_stated_in_an_answer_overrides_later_reports() {
     let mut lives = BackendLives::default();
-    let life = BackendLife::untold("a");
+    let life = BackendLife::without_start("a");
     lives
         .on_report(at_ms(0), report("a", 1, LifeState::Serving))
         .unwrap();
--- a/crates/kumquatquay-core/tests/routed/call_mesh.rs
+++ b/crates/kumquatquay-core/tests/routed/call_mesh.rs
@@ -179,7 +179,7 @@
 
     /// Limits the backend servers of the first gates to this many calls a second.
     pub(crate) fn limit_gates(&mut self, gates_count: usize, per_s: f64) {
-        let life = BackendLife::untold("limited");
+        let life = BackendLife::without_start("limited");
         for gate in &mut self.gates[..gates_count] {
             let limit = gate.gate.rate_limit_mut();
             limit.on_life(&life);
--- a/crates/kumquatquay-core/tests/routed/failing_server.rs
+++ b/crates/kumquatquay-core/tests/routed/failing_server.rs
@@ -212,7 +212,7 @@
         peer: address(server),
         data_centre: String::from("far"),
         service: Some(String::from("register")),
-        life: Some(BackendLife::untold(format!("life-{server}"))),
+        life: Some(BackendLife::without_start(format!("life-{server}"))),
         incarnation: 1,
         revision: 0,
         state: MemberState::Serving,
--- a/crates/kumquatquay-core/tests/routed/load_balancer.rs
+++ b/crates/kumquatquay-core/tests/routed/load_balancer.rs
@@ -21,7 +21,7 @@
         peer: address(host),
         data_centre: String::from(data_centre),
         service: Some(String::from("archive")),
-        life: Some(BackendLife::untold(format!("life-{host}"))),
+        life: Some(BackendLife::without_start(format!("life-{host}"))),
         incarnation: 1,
         revision: 0,
         state,
@@ -38,7 +38,7 @@
         work_us: run_time_ms * 1_000,
         level_permille: 1_000,
         failed_permille: 0,
-        pace_permille: 0,
+        slowdown_permille: 0,
         rate: None,
     }
 }
@@ -180,12 +180,12 @@
     let (mut balancer, mut random) = balancer();
     balancer.on_ended(at_ms(0), address(1), EndpointResult::Unreachable, None);
     let mut replaced = member(1, "near", MemberState::Serving);
-    replaced.life = Some(BackendLife::untold("new"));
+    replaced.life = Some(BackendLife::without_start("new"));
     balancer.rebuild("near", [replaced].iter());
     let endpoint = balancer
         .pick(at_ms(1), "archive", &[], false, &mut random)
         .unwrap();
-    assert_eq!(endpoint.life, Some(BackendLife::untold("new")));
+    assert_eq!(endpoint.life, Some(BackendLife::without_start("new")));
 }
 
 /// A backend server joins a service whose others run calls in 22 ms and have some in progress.
@@ -428,7 +428,7 @@
             .known_limit,
         None
     );
-    let life = BackendLife::untold("life-1");
+    let life = BackendLife::without_start("life-1");
     // The answer arrives while the host is not an endpoint.
     let others = [2, 3].map(|host| member(host, "near", MemberState::Serving));
     balancer.rebuild("near", others.iter());
@@ -465,7 +465,7 @@
     };
     let life = BackendLife {
         born_unix_ms: Some(7),
-        ..BackendLife::untold("life-1")
+        ..BackendLife::without_start("life-1")
     };
     assert!(balancer.on_leaving(at_ms(0), &life));
     assert!(!balancer.on_leaving(at_ms(0), &life));
--- a/crates/kumquatquay-core/tests/routed/run_failures.rs
+++ b/crates/kumquatquay-core/tests/routed/run_failures.rs
@@ -70,13 +70,13 @@
 #[test]
 fn another_life_starts_without_failures() {
     let mut failures = RunFailures::default();
-    failures.on_life(&BackendLife::untold("old"));
+    failures.on_life(&BackendLife::without_start("old"));
     for run in 0..50 {
         failures.failed(at_ms(run), at_ms(run));
     }
-    failures.on_life(&BackendLife::untold("old"));
+    failures.on_life(&BackendLife::without_start("old"));
     assert!(failures.ratio() > 0.9);
-    failures.on_life(&BackendLife::untold("new"));
+    failures.on_life(&BackendLife::without_start("new"));
     assert_eq!(failures.ratio(), 0.0);
 }
 
--- a/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
+++ b/crates/kumquatquay-core/tests/routed/server_rate_limit.rs
@@ -27,7 +27,7 @@
 const REPORT_DELAY_MS: u64 = 500;
 
 fn life(name: &str) -> BackendLife {
-    BackendLife::untold(String::from(name))
+    BackendLife::without_start(String::from(name))
 }
 
 fn limited(per_s: f64) -> ServerRateLimit {
--- a/crates/kumquatquay-wire/src/backend_life.rs
+++ b/crates/kumquatquay-wire/src/backend_life.rs
@@ -21,7 +21,7 @@
 
 impl BackendLife {
     /// A life whose start isn't told: another one has another id.
-    pub fn untold(instance: impl Into<InstanceId>) -> Self {
+    pub fn without_start(instance: impl Into<InstanceId>) -> Self {
         Self {
             instance: instance.into(),
             born_unix_ms: None,
@@ -30,7 +30,7 @@
 
     /// Whether this may be the same life as another one: their ids are the same, and so are their
     /// starts where both are told.
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_equal(&self, other: &Self) -> bool {
         let is_told = self.born_unix_ms.is_some() && other.born_unix_ms.is_some();
         self.instance == other.instance && (!is_told || self.born_unix_ms == other.born_unix_ms)
     }
--- a/crates/kumquatquay-wire/src/routed/configuration.rs
+++ b/crates/kumquatquay-wire/src/routed/configuration.rs
@@ -16,7 +16,8 @@
 
 /// How far a node follows the configuration; nodes tell each other with each call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FollowState {
+#[serde(rename = "FollowState")]
+pub struct SyncState {
     /// Configuration in force at the node; 0 without one.
     pub version: RouteVersion,
     /// The highest era of the store that the node knows of; `None` if the store tells none.
--- a/crates/kumquatquay-wire/src/routed/frame.rs
+++ b/crates/kumquatquay-wire/src/routed/frame.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Fields, FollowState, GateReport, Priority, QuotaVerdict, RouteEstimate, ServicePressure,
-    SliceSets, WorkspaceName,
+    Fields, GateReport, Priority, QuotaVerdict, RouteEstimate, ServicePressure, SliceSets,
+    SyncState, WorkspaceName,
 };
 use crate::{BackendLife, WireError};
 
@@ -51,27 +51,30 @@
     /// Asks for a [`FrameHead::Pong`], which shows that the link still works.
     Ping {
         /// How far the sender follows the configuration.
-        followed: FollowState,
+        #[serde(rename = "followed")]
+        sync_state: SyncState,
         /// When it was asked, by the sender's clock, in milliseconds.
         asked_ms: u64,
     },
     /// Answers a [`FrameHead::Ping`].
     Pong {
         /// How far the sender follows the configuration.
-        followed: FollowState,
+        #[serde(rename = "followed")]
+        sync_state: SyncState,
         /// What the question said.
         asked_ms: u64,
     },
     /// A keeper of quotas asks for a loan of what the receiver owns.
-    LoanAsk {
+    #[serde(rename = "LoanAsk")]
+    LoanRequest {
         /// Control address of the keeper.
-        keeper: SocketAddr,
+        borrower: SocketAddr,
         /// What it keeps.
         wanted: SliceSets,
         /// When it was asked, by the keeper's clock, in milliseconds.
         asked_ms: u64,
     },
-    /// Answers a [`FrameHead::LoanAsk`].
+    /// Answers a [`FrameHead::LoanRequest`].
     Loan {
         /// Control address of the lender.
         lender: SocketAddr,
@@ -83,13 +86,14 @@
         nodes_count: u32,
     },
     /// Asks a keeper for a token.
-    QuotaAsk {
+    #[serde(rename = "QuotaAsk")]
+    QuotaRequest {
         /// Names the question in its answer.
         number: u64,
         /// Whose request it is.
         workspace: WorkspaceName,
     },
-    /// Answers a [`FrameHead::QuotaAsk`].
+    /// Answers a [`FrameHead::QuotaRequest`].
     QuotaAnswer {
         /// The question.
         number: u64,
@@ -102,7 +106,8 @@
         workspace: WorkspaceName,
     },
     /// Asks for the configuration in force at the receiver.
-    ConfigurationAsk,
+    #[serde(rename = "ConfigurationAsk")]
+    ConfigurationRequest,
     /// A configuration; a `RouteConfiguration` by `postcard` follows as the body.
     Configuration,
 }
@@ -130,7 +135,8 @@
     pub priority: Priority,
     /// Rank of the route on which the whole request came in; that of this route if it isn't
     /// known which request the call belongs to.
-    pub whole_priority: Priority,
+    #[serde(rename = "whole_priority")]
+    pub request_priority: Priority,
     /// Time within which its answer is worth most, in milliseconds.
     pub target_latency_ms: u64,
     /// Level of the service as the sender knows it, in thousandths.
@@ -147,7 +153,8 @@
     /// Time that is left to answer it, in milliseconds.
     pub remaining_ms: u64,
     /// How far the sender follows the configuration.
-    pub followed: FollowState,
+    #[serde(rename = "followed")]
+    pub sync_state: SyncState,
     /// Request method.
     pub method: &'a str,
     /// Path and query.
@@ -165,7 +172,7 @@
 
 impl KnownLimit {
     /// So many calls a second, told now.
-    pub fn told_now(limit_per_s: f64) -> Self {
+    pub fn reported_now(limit_per_s: f64) -> Self {
         Self {
             limit_milli_per_s: (limit_per_s * 1_000.0) as u64,
             age_ms: 0,
@@ -185,7 +192,8 @@
     /// How busy the backend server is.
     pub report: GateReport,
     /// How far the sender follows the configuration.
-    pub followed: FollowState,
+    #[serde(rename = "followed")]
+    pub sync_state: SyncState,
     /// What the sender knows of the call's route, where it wasn't told just before.
     #[serde(rename = "news")]
     pub route_estimate: Option<RouteEstimate>,
@@ -264,7 +272,7 @@
 
 impl Payload {
     /// A body without header fields.
-    pub fn of_body(body: impl Into<Bytes>) -> Self {
+    pub fn from_body(body: impl Into<Bytes>) -> Self {
         Self {
             fields: Fields::default(),
             body: body.into(),
@@ -355,11 +363,11 @@
     /// # Errors
     ///
     /// [`WireError`] if the header fields can't be read; the link can't be used any more.
-    pub fn held(&self) -> Result<HeldFrame, WireError> {
+    pub fn to_owned_frame(&self) -> Result<OwnedFrame, WireError> {
         let mut bytes = Bytes::copy_from_slice(self.bytes);
         let head = bytes.split_to(self.head_bytes);
         let payload = payload_of(bytes, self.fields_bytes)?;
-        Ok(HeldFrame { head, payload })
+        Ok(OwnedFrame { head, payload })
     }
 }
 
@@ -371,13 +379,13 @@
 
 /// A frame in memory of its own; one allocation holds all of it.
 #[derive(Clone, Debug)]
-pub struct HeldFrame {
+pub struct OwnedFrame {
     head: Bytes,
     /// What it carries beside its head.
     pub payload: Payload,
 }
 
-impl HeldFrame {
+impl OwnedFrame {
     /// What it says.
     ///
     /// # Errors
--- a/crates/kumquatquay-wire/src/routed/gate_report.rs
+++ b/crates/kumquatquay-wire/src/routed/gate_report.rs
@@ -26,7 +26,8 @@
     pub failed_permille: u16,
     /// Time that work takes on the backend server's machine at this moment over its usual
     /// one, in thousandths; 0 while that isn't known. For metrics: nothing is decided by it.
-    pub pace_permille: u16,
+    #[serde(rename = "pace_permille")]
+    pub slowdown_permille: u16,
     /// The rate limit that the backend server advertises, if it does.
     pub rate: Option<RateReport>,
 }
@@ -54,7 +55,7 @@
 
 impl GateReport {
     /// Mean time that a call takes to run.
-    pub fn work(&self) -> Duration {
+    pub fn mean_run_time(&self) -> Duration {
         Duration::from_micros(u64::from(self.work_us))
     }
 
@@ -70,9 +71,9 @@
 
     /// Time that work takes on the backend server's machine at this moment over its usual
     /// one, if it is known: 2 where it takes twice as long.
-    pub fn pace_ratio(&self) -> Option<f64> {
-        let is_known = self.pace_permille > 0;
-        is_known.then(|| f64::from(self.pace_permille) / 1_000.0)
+    pub fn slowdown_ratio(&self) -> Option<f64> {
+        let is_known = self.slowdown_permille > 0;
+        is_known.then(|| f64::from(self.slowdown_permille) / 1_000.0)
     }
 
     /// Calls that run at the same time where as many are handed over as may be: under a rate
@@ -81,7 +82,7 @@
         let slots = f64::from(self.limit_count.max(1));
         let by_rate = self.rate.filter(|_| self.work_us > 0);
         by_rate.map_or(slots, |rate| {
-            let begun = rate.limit_per_s() * self.work().as_secs_f64();
+            let begun = rate.limit_per_s() * self.mean_run_time().as_secs_f64();
             slots.min(begun).max(LEAST_SLOTS)
         })
     }
@@ -103,7 +104,7 @@
             work_us: 0,
             level_permille: 1_000,
             failed_permille: 0,
-            pace_permille: 0,
+            slowdown_permille: 0,
             rate: None,
         }
     }
--- a/crates/kumquatquay-wire/src/routed/mod.rs
+++ b/crates/kumquatquay-wire/src/routed/mod.rs
@@ -18,13 +18,13 @@
 mod workspace;
 
 pub use configuration::{
-    CallerLimits, Destination, FollowState, HostRoutes, Priority, Repeat, RouteConfiguration,
-    RouteSettings, RouteVersion, ServiceSettings, StoreEra,
+    CallerLimits, Destination, HostRoutes, Priority, Repeat, RouteConfiguration, RouteSettings,
+    RouteVersion, ServiceSettings, StoreEra, SyncState,
 };
 pub use fields::{Field, Fields};
 pub use frame::{
-    AnswerHead, BODY_LIMIT_BYTES, CallHead, CallNumber, Frame, FrameHead, FrameReader, HeldFrame,
-    KnownLimit, LinkOutcome, NotRunReason, Payload, UnknownReason, encode_frame,
+    AnswerHead, BODY_LIMIT_BYTES, CallHead, CallNumber, Frame, FrameHead, FrameReader, KnownLimit,
+    LinkOutcome, NotRunReason, OwnedFrame, Payload, UnknownReason, encode_frame,
 };
 pub use gate_report::{GateReport, RateReport};
 pub use quota::{HALVES_COUNT, QuotaVerdict, SLICES_COUNT, SliceSets};
--- a/crates/kumquatquay-wire/src/routed/route_estimate.rs
+++ b/crates/kumquatquay-wire/src/routed/route_estimate.rs
@@ -41,7 +41,7 @@
     /// This and another one at the same service. Where the time of one isn't known, its calls are
     /// taken to be like those of the other.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn combine(&self, other: &Self) -> Self {
         let calls = self.calls + other.calls;
         let known = [self, other]
             .into_iter()
--- a/crates/kumquatquay-wire/tests/frames.rs
+++ b/crates/kumquatquay-wire/tests/frames.rs
@@ -16,7 +16,7 @@
 
 impl Numbered {
     fn with_body(number: u64, body: Vec<u8>) -> Self {
-        let payload = Payload::of_body(body);
+        let payload = Payload::from_body(body);
         Self { number, payload }
     }
 
@@ -35,7 +35,7 @@
         };
         let payload = frame.payload()?;
         assert_eq!(frame.body(), payload.body);
-        let held = frame.held()?;
+        let held = frame.to_owned_frame()?;
         assert_eq!(held.head()?, frame.head()?);
         assert_eq!(held.payload, payload);
         frames.push(Numbered { number, payload });
--- a/crates/kumquatquayd/src/routed/forwarding.rs
+++ b/crates/kumquatquayd/src/routed/forwarding.rs
@@ -492,7 +492,7 @@
             .map(|workspace| workspace.name.as_str()),
         attempt: &call.attempt_id,
         priority: call.priority(),
-        whole_priority: call.request_priority.get(),
+        request_priority: call.request_priority.get(),
         target_latency_ms: settings.target_latency.as_millis() as u64,
         level_permille: (level * 1_000.0) as u16,
         is_idempotent: settings.repeat == Repeat::Idempotent,
@@ -500,7 +500,7 @@
         accepts_failing: false,
         needs_commit: settings.repeat == Repeat::AtMostOnce && node.is_on(Mechanism::Commit),
         remaining_ms: time_left.as_millis() as u64,
-        followed: node.follow_state(),
+        sync_state: node.sync_state(),
         method: &call.method,
         target: &call.target,
     }
--- a/crates/kumquatquayd/src/routed/freshness.rs
+++ b/crates/kumquatquayd/src/routed/freshness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kumquatquay_core::routed::FreshnessProof;
-use kumquatquay_wire::routed::{FollowState, RouteSettings};
+use kumquatquay_wire::routed::{RouteSettings, SyncState};
 
 use super::node::RoutedNode;
 use crate::clock::unsuspended;
@@ -46,10 +46,10 @@
 
     /// How far this node follows the configuration, with the age of its proof; this form is for
     /// nodes that asked.
-    pub(crate) fn follow_state_with_proof(&self) -> FollowState {
-        FollowState {
+    pub(crate) fn sync_state_with_proof(&self) -> SyncState {
+        SyncState {
             proof_age_ms: self.proof_age().and_then(age_ms),
-            ..self.follow_state()
+            ..self.sync_state()
         }
     }
 
--- a/crates/kumquatquayd/src/routed/initial_health_check.rs
+++ b/crates/kumquatquayd/src/routed/initial_health_check.rs
@@ -80,7 +80,7 @@
     answer.return_to_pool(metadata.keep_alive_timeout);
     let instance = metadata.instance.filter(|_| is_healthy)?;
     let report = LifeReport {
-        life: BackendLife::untold(instance),
+        life: BackendLife::without_start(instance),
         service: service.clone(),
         slots_count: metadata.slots_count.filter(|slots| *slots > 0)?,
         state: LifeState::Serving,
--- a/crates/kumquatquayd/src/routed/link.rs
+++ b/crates/kumquatquayd/src/routed/link.rs
@@ -26,7 +26,7 @@
 
 use super::{
     configuration_exchange::{
-        on_configuration, on_follow_answer, on_follow_state, ping_frame, send_configuration,
+        on_configuration, on_sync_answer, on_sync_state, ping_frame, send_configuration,
     },
     link_answer::{LinkAnswer, MayHaveRun},
     link_frames::{FrameWriter, read_frames},
@@ -260,13 +260,16 @@
     match frame.head()? {
         FrameHead::Answer(answer) => on_answer(node, link, answer, frame.payload()?),
         FrameHead::Granted { number } => on_granted(link, number),
-        FrameHead::Pong { followed, asked_ms } => {
+        FrameHead::Pong {
+            sync_state,
+            asked_ms,
+        } => {
             let asked = Duration::from_millis(asked_ms);
-            on_follow_answer(node, &link.frames, followed, asked);
+            on_sync_answer(node, &link.frames, sync_state, asked);
         }
-        FrameHead::Ping { followed, .. } => on_follow_state(node, &link.frames, followed),
+        FrameHead::Ping { sync_state, .. } => on_sync_state(node, &link.frames, sync_state),
         FrameHead::Configuration => on_configuration(node, frame.body()),
-        FrameHead::ConfigurationAsk => send_configuration(node, &link.frames),
+        FrameHead::ConfigurationRequest => send_configuration(node, &link.frames),
         FrameHead::Loan {
             lender,
             granted,
@@ -284,8 +287,8 @@
         FrameHead::Call(_)
         | FrameHead::Cancel { .. }
         | FrameHead::Commit { .. }
-        | FrameHead::LoanAsk { .. }
-        | FrameHead::QuotaAsk { .. }
+        | FrameHead::LoanRequest { .. }
+        | FrameHead::QuotaRequest { .. }
         | FrameHead::QuotaReturn { .. } => {
             log::warn!(event = "link_confused"; "a frame arrived at the wrong end of a link");
         }
@@ -351,9 +354,9 @@
     let pending = link.pending.borrow_mut().remove(&answer.number);
     match &pending {
         Some(pending) => {
-            on_follow_answer(node, &link.frames, answer.followed, pending.sent_at);
+            on_sync_answer(node, &link.frames, answer.sync_state, pending.sent_at);
         }
-        None => on_follow_state(node, &link.frames, answer.followed),
+        None => on_sync_state(node, &link.frames, answer.sync_state),
     }
     // Without a pending call: the call was cancelled while its answer was on its way.
     if let Some(pending) = pending {
@@ -385,7 +388,7 @@
 /// Requests the configuration of another node.
 pub(crate) fn ask_configuration(node: &Rc<RoutedNode>, peer: SocketAddr) {
     let link = link_to(node, peer, 0);
-    link.frames.push(&FrameHead::ConfigurationAsk);
+    link.frames.push(&FrameHead::ConfigurationRequest);
 }
 
 /// Pings quiet peers and closes links that stay silent.
--- a/crates/kumquatquayd/src/routed/link_server.rs
+++ b/crates/kumquatquayd/src/routed/link_server.rs
@@ -10,15 +10,15 @@
 use kumquatquay_wire::{
     WireError,
     routed::{
-        AnswerHead, CallNumber, FollowState, Frame, FrameHead, HeldFrame, NotRunReason,
-        RouteEstimate, ServicePressure,
+        AnswerHead, CallNumber, Frame, FrameHead, NotRunReason, OwnedFrame, RouteEstimate,
+        ServicePressure, SyncState,
     },
 };
 use tokio::{net::TcpStream, sync::oneshot};
 
 use super::{
     call_workers::run_on_worker,
-    configuration_exchange::{on_configuration, on_follow_state, send_configuration},
+    configuration_exchange::{on_configuration, on_sync_state, send_configuration},
     link_answer::LinkAnswer,
     link_frames::{FrameWriter, read_frames},
     local_run::run_locally,
@@ -36,7 +36,7 @@
     sent_estimates: RefCell<HashMap<String, SentEstimate>>,
     /// When pressures were last sent.
     pressures_sent_at: Cell<Duration>,
-    /// When the follow state was last sent with its proof.
+    /// When the sync state was last sent with its proof.
     proof_sent_at: Cell<Duration>,
 }
 
@@ -109,14 +109,14 @@
         Some(estimate)
     }
 
-    /// Follow state of this node, with its proof unless one was sent recently.
-    fn follow_state(&self, node: &RoutedNode) -> FollowState {
+    /// Sync state of this node, with its proof unless one was sent recently.
+    fn sync_state(&self, node: &RoutedNode) -> SyncState {
         let now = node.now();
         if now < self.proof_sent_at.get() + PROOF_INTERVAL {
-            return node.follow_state();
+            return node.sync_state();
         }
         self.proof_sent_at.set(now);
-        node.follow_state_with_proof()
+        node.sync_state_with_proof()
     }
 
     /// Pressures on the services that a route leads to; empty if they were sent recently.
@@ -153,9 +153,9 @@
 ) -> Result<(), WireError> {
     match frame.head()? {
         FrameHead::Call(call) => {
-            on_follow_state(node, &link.frames, call.followed);
+            on_sync_state(node, &link.frames, call.sync_state);
             if link.frames.has_room_for_answers() {
-                on_call(node, link, call.number, frame.held()?);
+                on_call(node, link, call.number, frame.to_owned_frame()?);
             } else {
                 // The peer doesn't read, so answers would pile up in memory.
                 node.metrics.count("link", "unread_answers");
@@ -174,22 +174,28 @@
                 let _ = commit.send(());
             }
         }
-        FrameHead::Ping { followed, asked_ms } => {
-            on_follow_state(node, &link.frames, followed);
-            let followed = node.follow_state_with_proof();
-            link.frames.push(&FrameHead::Pong { followed, asked_ms });
+        FrameHead::Ping {
+            sync_state,
+            asked_ms,
+        } => {
+            on_sync_state(node, &link.frames, sync_state);
+            let sync_state = node.sync_state_with_proof();
+            link.frames.push(&FrameHead::Pong {
+                sync_state,
+                asked_ms,
+            });
         }
-        FrameHead::ConfigurationAsk => send_configuration(node, &link.frames),
+        FrameHead::ConfigurationRequest => send_configuration(node, &link.frames),
         FrameHead::Configuration => on_configuration(node, frame.body()),
-        FrameHead::LoanAsk {
-            keeper,
+        FrameHead::LoanRequest {
+            borrower,
             wanted,
             asked_ms,
         } => {
-            let loan = lend(node, keeper, wanted, asked_ms);
+            let loan = lend(node, borrower, wanted, asked_ms);
             link.frames.push(&loan);
         }
-        FrameHead::QuotaAsk { number, workspace } => {
+        FrameHead::QuotaRequest { number, workspace } => {
             let verdict = take_local_token(node, &workspace);
             link.frames
                 .push(&FrameHead::QuotaAnswer { number, verdict });
@@ -204,7 +210,7 @@
     Ok(())
 }
 
-fn on_call(node: &Rc<RoutedNode>, link: &Rc<ServedLink>, number: CallNumber, frame: HeldFrame) {
+fn on_call(node: &Rc<RoutedNode>, link: &Rc<ServedLink>, number: CallNumber, frame: OwnedFrame) {
     let (cancel, cancelled) = oneshot::channel();
     let (commit, committed) = oneshot::channel();
     let open = OpenCall {
@@ -227,7 +233,7 @@
 pub(super) struct ServedCall {
     link: Rc<ServedLink>,
     number: CallNumber,
-    frame: HeldFrame,
+    frame: OwnedFrame,
     cancelled: oneshot::Receiver<()>,
     committed: oneshot::Receiver<()>,
 }
@@ -278,7 +284,7 @@
         outcome: answer.outcome,
         is_leaving: answer.is_leaving,
         report: node.gate_report(),
-        followed: link.follow_state(node),
+        sync_state: link.sync_state(node),
         route_estimate: link.route_estimate(node, route),
         pressures: link.pressures(node, route),
     });
--- a/crates/kumquatquayd/src/routed/local_run.rs
+++ b/crates/kumquatquayd/src/routed/local_run.rs
@@ -267,7 +267,7 @@
 ) -> Admission<RunPermit> {
     let call = GateCall {
         priority: timed.call.priority,
-        request_priority: timed.call.whole_priority,
+        request_priority: timed.call.request_priority,
         soft_deadline: timed.soft_deadline,
         deadline: timed.deadline,
         run_time: node.gate.borrow().run_times().estimate(timed.call.route),
@@ -336,7 +336,7 @@
         let number =
             node.call_tracer
                 .borrow_mut()
-                .run_started(call.route, call.whole_priority, deadline);
+                .run_started(call.route, call.request_priority, deadline);
         node.call_graph.borrow_mut().run_started(now, call.route);
         node.backend_liveness.borrow_mut().call_started(now);
         Self {
--- a/crates/kumquatquayd/src/routed/metrics_text.rs
+++ b/crates/kumquatquayd/src/routed/metrics_text.rs
@@ -45,7 +45,7 @@
         ("gate_limit", u64::from(report.limit_count)),
         ("gate_work_us", u64::from(report.work_us)),
         ("gate_level_permille", u64::from(report.level_permille)),
-        ("gate_pace_permille", u64::from(report.pace_permille)),
+        ("gate_pace_permille", u64::from(report.slowdown_permille)),
         ("route_version", node.route_version()),
         ("store_era", store_era),
         ("store_behind", u64::from(is_store_behind)),
--- a/crates/kumquatquayd/src/routed/node.rs
+++ b/crates/kumquatquayd/src/routed/node.rs
@@ -16,8 +16,8 @@
     RouteTable, RunFailures, StorePoller, StoreReaders, UnknownKeys,
 };
 use kumquatquay_wire::routed::{
-    BODY_LIMIT_BYTES, FollowState, GateReport, RouteConfiguration, RouteEstimate, RouteVersion,
-    ServiceDemand,
+    BODY_LIMIT_BYTES, GateReport, RouteConfiguration, RouteEstimate, RouteVersion, ServiceDemand,
+    SyncState,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tokio::sync::{Notify, oneshot, watch};
@@ -285,9 +285,9 @@
 
     /// How far this node follows the configuration, without the age of its proof; this form is
     /// for nodes that didn't ask.
-    pub(crate) fn follow_state(&self) -> FollowState {
+    pub(crate) fn sync_state(&self) -> SyncState {
         let store_poller = self.store_poller.borrow();
-        FollowState {
+        SyncState {
             version: self.route_version(),
             store_era: store_poller.era(),
             store_answers_count: store_poller.answers_count(),
@@ -354,7 +354,7 @@
         let slowdown_ratio = self.machine_slowdown.borrow().ratio(self.now());
         GateReport {
             failed_permille: (failed_ratio * 1_000.0) as u16,
-            pace_permille: (slowdown_ratio.unwrap_or_default() * 1_000.0) as u16,
+            slowdown_permille: (slowdown_ratio.unwrap_or_default() * 1_000.0) as u16,
             ..self.gate.borrow().report(self.now(), level)
         }
     }
@@ -396,7 +396,7 @@
             for demand in levels.all_demands(now, &edge.callee) {
                 let demand = demand.scaled(edge.calls_per_run as f32);
                 let known = demands.entry(demand.service.clone()).or_default();
-                *known = demand.and(known);
+                *known = demand.combine(known);
             }
         }
         let is_starting = now < SETTLING_TIME;
--- a/crates/kumquatquayd/src/routed/quotas.rs
+++ b/crates/kumquatquayd/src/routed/quotas.rs
@@ -214,7 +214,7 @@
     let (open, receiver) = OpenQuestion::new(node);
     let number = open.number;
     let workspace = WorkspaceName::from(workspace);
-    let ask = FrameHead::QuotaAsk { number, workspace };
+    let ask = FrameHead::QuotaRequest { number, workspace };
     send_frame(node, borrower, &ask);
     let answer = tokio::time::timeout(BORROWER_TIMEOUT, receiver).await;
     drop(open);
@@ -410,8 +410,8 @@
     };
     on_loan(node, own, loan);
     for (peer, wanted) in members_to_ask(node, wanted) {
-        let ask = FrameHead::LoanAsk {
-            keeper: own,
+        let ask = FrameHead::LoanRequest {
+            borrower: own,
             wanted,
             asked_ms: asked.as_millis() as u64,
         };
--- a/crates/kumquatquayd/src/routed/server_notices.rs
+++ b/crates/kumquatquayd/src/routed/server_notices.rs
@@ -92,7 +92,7 @@
     limit: AdvertisedRateLimit,
 ) {
     if let AdvertisedRateLimit::PerSecond(per_s) = limit {
-        let known = KnownLimit::told_now(per_s);
+        let known = KnownLimit::reported_now(per_s);
         on_reported_limit(node, life, known, "health_check");
     }
 }
