--- a/crates/kumquatquay-core/benches/decision.rs
+++ b/crates/kumquatquay-core/benches/decision.rs
@@ -87,7 +87,7 @@
                 sender: address(1, 7000),
                 incarnation: 1,
                 sequence: sequence as u64 + 1,
-                body: ControlBody::News,
+                body: ControlBody::Gossip,
                 rumours: records.map(Rumour::Member).collect(),
             };
             bench.feed(Input::Datagram(datagram));
--- a/crates/kumquatquay-core/src/call/arrival.rs
+++ b/crates/kumquatquay-core/src/call/arrival.rs
@@ -96,7 +96,7 @@
         trace: inherited.trace,
         request: inherited.request,
         depth_count: inherited.depth_count,
-        is_repeat: inherited.is_repeat,
+        is_retry: inherited.is_retry,
         importance: inherited.importance,
         is_idempotent,
         fingerprint,
@@ -145,7 +145,7 @@
     trace: TraceId,
     request: RequestId,
     depth_count: u8,
-    is_repeat: bool,
+    is_retry: bool,
     importance: Importance,
     deadline: Duration,
 }
@@ -201,7 +201,7 @@
         trace: ledger.trace,
         request: ledger.request,
         depth_count: ledger.depth_count,
-        is_repeat: ledger.is_repeat,
+        is_retry: ledger.is_retry,
         importance: ledger.importance,
         deadline: ledger.deadline,
     }
--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -175,7 +175,7 @@
     let Some(ledger) = board.overload.ledgers.get_mut(call.ledger) else {
         return is_first || !policy.has_retry_allowance;
     };
-    if is_first && !ledger.is_repeat {
+    if is_first && !ledger.is_retry {
         ledger.add_attempts(Some(1));
         return true;
     }
@@ -227,7 +227,7 @@
         cohort: call.importance.cohort(),
         remaining_ms: remaining.as_millis().min(u128::from(u32::MAX)) as u32,
         allowance_count: attempt.lent_count,
-        is_repeat: call.is_repeat || call.retry_cost.is_unknown,
+        is_retry: call.is_retry || call.retry_cost.is_unknown,
         wants_services: attempt.wants_services,
         caller_limit_per_s: call.caller_limit_per_s,
         depth_count: call.depth_count.saturating_add(1),
--- a/crates/kumquatquay-core/src/call/call_table.rs
+++ b/crates/kumquatquay-core/src/call/call_table.rs
@@ -39,7 +39,7 @@
     /// Number of calls between the entry and this host.
     pub(crate) depth_count: u8,
     /// Whether an earlier attempt of the work that makes this call may have run.
-    pub(crate) is_repeat: bool,
+    pub(crate) is_retry: bool,
     /// Importance of the root request.
     pub(crate) importance: Importance,
     /// Whether the call can be run twice with the same effect as once.
--- a/crates/kumquatquay-core/src/configuration/peer_fetch.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_fetch.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use kumquatquay_wire::{
-    BulkQuestion, ConfigurationAnswer, ConfigurationQuestion, ConfigurationVersion, MemberState,
+    BulkRequest, ConfigurationAnswer, ConfigurationRequest, ConfigurationVersion, MemberState,
 };
 use rand::seq::IteratorRandom;
 
@@ -145,7 +145,7 @@
     fetch.outstanding = Some((to, now.monotonic + ANSWER_TIMEOUT));
     fetch.ask_any_node_at = now.monotonic + ASK_INTERVAL;
     let through = board.configuration.state.through();
-    let question = ConfigurationQuestion {
+    let question = ConfigurationRequest {
         through,
         wants_version_only: false,
     };
@@ -155,7 +155,7 @@
 fn send(
     board: &mut Blackboard,
     to: SocketAddr,
-    question: ConfigurationQuestion,
+    question: ConfigurationRequest,
     out: &mut Vec<Output>,
 ) {
     let payload = question.to_bytes();
@@ -164,13 +164,13 @@
         .increment(Counter::ConfigurationPeerQuestions);
     out.push(Output::BulkAsk {
         to,
-        question: BulkQuestion::Configuration { payload }.to_bytes(),
+        question: BulkRequest::Configuration { payload }.to_bytes(),
     });
 }
 
 /// Asks another node which version it has in force; the operator command `status` reports it.
 pub(super) fn ask_version(board: &mut Blackboard, to: SocketAddr, out: &mut Vec<Output>) {
-    let question = ConfigurationQuestion {
+    let question = ConfigurationRequest {
         through: None,
         wants_version_only: true,
     };
@@ -179,7 +179,7 @@
 
 /// Answers a question of another node about the configuration.
 pub(crate) fn on_bulk_question(board: &Blackboard, question: &[u8]) -> Vec<u8> {
-    let answer = match ConfigurationQuestion::from_bytes(question) {
+    let answer = match ConfigurationRequest::from_bytes(question) {
         Ok(question) if question.wants_version_only => {
             ConfigurationAnswer::Version(board.configuration.version())
         }
@@ -189,7 +189,7 @@
     answer.to_bytes()
 }
 
-fn answer_to(board: &Blackboard, question: ConfigurationQuestion) -> ConfigurationAnswer {
+fn answer_to(board: &Blackboard, question: ConfigurationRequest) -> ConfigurationAnswer {
     let state = &board.configuration.state;
     let Some(through) = state.through() else {
         return ConfigurationAnswer::Nothing;
--- a/crates/kumquatquay-core/src/membership/bulk_sync.rs
+++ b/crates/kumquatquay-core/src/membership/bulk_sync.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use kumquatquay_wire::{
-    BulkAnswer, BulkQuestion, ControlBody, DataCentreDigest, DataCentreMembers, DataCentreName,
+    BulkAnswer, BulkRequest, ControlBody, DataCentreDigest, DataCentreMembers, DataCentreName,
     MemberRecord, MemberState, TableDigest,
 };
 use rand::seq::IteratorRandom;
@@ -103,7 +103,7 @@
     };
     board.membership.gossip_queue.push(own, Urgency::High);
     ask(board, now, to, out);
-    sender::send_local(board, now, to, ControlBody::News, out);
+    sender::send_local(board, now, to, ControlBody::Gossip, out);
 }
 
 /// Hears the digest of a member of the own data centre.
@@ -171,7 +171,7 @@
         data_centre: name.clone(),
         digest: view.digest(),
     });
-    let question = BulkQuestion::Members {
+    let question = BulkRequest::Members {
         known: known.collect(),
     };
     out.push(Output::BulkAsk {
@@ -205,9 +205,9 @@
     question: &[u8],
     out: &mut Vec<Output>,
 ) {
-    let answer = match BulkQuestion::from_bytes(question) {
-        Ok(BulkQuestion::Members { known }) => members_answer(board, now, &known),
-        Ok(BulkQuestion::Configuration { payload }) => BulkAnswer::Configuration {
+    let answer = match BulkRequest::from_bytes(question) {
+        Ok(BulkRequest::Members { known }) => members_answer(board, now, &known),
+        Ok(BulkRequest::Configuration { payload }) => BulkAnswer::Configuration {
             payload: configuration::on_bulk_question(board, &payload),
         },
         Err(_) => {
--- a/crates/kumquatquay-core/src/membership/controller.rs
+++ b/crates/kumquatquay-core/src/membership/controller.rs
@@ -137,10 +137,10 @@
             data_centre_liveness::record_contact(board, now, &data_centre);
             bulk_sync::on_remote_digest(board, now, from, &data_centre, digest, out);
         }
-        ControlBody::News => {}
+        ControlBody::Gossip => {}
         ControlBody::Introduce => {
             let own = [Rumour::Member(board.members.own().clone())];
-            sender::send_remote(board, now, from, ControlBody::News, &own, out);
+            sender::send_remote(board, now, from, ControlBody::Gossip, &own, out);
         }
     }
 }
@@ -226,7 +226,7 @@
     }
     board.membership.next_correction = now.monotonic + CORRECTION_INTERVAL;
     let rumours = [Rumour::Member(known.clone())];
-    sender::send_remote(board, now, to, ControlBody::News, &rumours, out);
+    sender::send_remote(board, now, to, ControlBody::Gossip, &rumours, out);
 }
 
 fn on_rumour(
--- a/crates/kumquatquay-core/src/membership/data_centre_relay.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_relay.rs
@@ -209,7 +209,7 @@
         .iter()
         .filter_map(|(_, control)| board.members.get(*control));
     let rumours: Vec<Rumour> = known.map(sender::rumour_of).collect();
-    let sent_count = sender::send_remote(board, now, to, ControlBody::News, &rumours, out);
+    let sent_count = sender::send_remote(board, now, to, ControlBody::Gossip, &rumours, out);
     for (transmits_count, control) in order.into_iter().take(sent_count) {
         if transmits_count + 1 < TRANSMITS_COUNT {
             queue.pending.insert(control, transmits_count + 1);
--- a/crates/kumquatquay-core/src/membership/draining.rs
+++ b/crates/kumquatquay-core/src/membership/draining.rs
@@ -108,7 +108,7 @@
 /// these messages lost, the probes would find out within seconds.
 fn send_departure(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     for to in gossip::random_local_members(board, DEPARTURE_MESSAGES_COUNT) {
-        sender::send_local(board, now, to, ControlBody::News, out);
+        sender::send_local(board, now, to, ControlBody::Gossip, out);
     }
 }
 
--- a/crates/kumquatquay-core/src/membership/gossip.rs
+++ b/crates/kumquatquay-core/src/membership/gossip.rs
@@ -38,7 +38,7 @@
         return;
     }
     for to in random_local_members(board, FANOUT_COUNT) {
-        sender::send_local_with(board, now, to, ControlBody::News, &others, out);
+        sender::send_local_with(board, now, to, ControlBody::Gossip, &others, out);
     }
 }
 
--- a/crates/kumquatquay-core/src/membership/sender.rs
+++ b/crates/kumquatquay-core/src/membership/sender.rs
@@ -82,7 +82,7 @@
     let mut batch = RumourBatch::new();
     add_priority_rumours(board, now, to, &mut batch);
     if batch.add_within_budget(others, &mut board.membership.other_budget, now) > 0 {
-        push_datagram(board, to, ControlBody::News, batch.rumours, out);
+        push_datagram(board, to, ControlBody::Gossip, batch.rumours, out);
     }
 }
 
--- a/crates/kumquatquay-core/src/overload/ledger.rs
+++ b/crates/kumquatquay-core/src/overload/ledger.rs
@@ -30,7 +30,7 @@
     pub(crate) depth_count: u8,
     /// Whether an earlier attempt of this subtree may have run, so that each call is charged to
     /// the allowance, even if it is a first attempt.
-    pub(crate) is_repeat: bool,
+    pub(crate) is_retry: bool,
     /// Whether the answer should name all services that were reached.
     pub(crate) wants_services: bool,
     /// Attempts of the subtree so far that were not charged to an allowance;
@@ -62,7 +62,7 @@
             deadline,
             allowance: RetryAllowance::new(allowance_count),
             depth_count: 0,
-            is_repeat: false,
+            is_retry: false,
             wants_services: false,
             attempts_count: 0,
             reached_services: Vec::new(),
@@ -83,7 +83,7 @@
         );
         Self {
             depth_count: context.depth_count,
-            is_repeat: context.is_repeat,
+            is_retry: context.is_retry,
             wants_services: context.wants_services,
             ..ledger
         }
--- a/crates/kumquatquay-core/tests/membership_properties.rs
+++ b/crates/kumquatquay-core/tests/membership_properties.rs
@@ -82,7 +82,7 @@
         sender: "10.0.0.101:7000".parse().unwrap(),
         incarnation: 1,
         sequence,
-        body: ControlBody::News,
+        body: ControlBody::Gossip,
         rumours: vec![Rumour::Member(record.clone())],
     })
 }
--- a/crates/kumquatquay-core/tests/operations/properties.rs
+++ b/crates/kumquatquay-core/tests/operations/properties.rs
@@ -259,7 +259,7 @@
             sender: control_of(100),
             incarnation: 1,
             sequence: place as u64 + 1,
-            body: ControlBody::News,
+            body: ControlBody::Gossip,
             rumours: vec![Rumour::Quarantine(record.clone())],
         };
         mesh.give(0, Input::Datagram(datagram));
--- a/crates/kumquatquay-core/tests/operations/support/mesh.rs
+++ b/crates/kumquatquay-core/tests/operations/support/mesh.rs
@@ -150,7 +150,7 @@
                 sender: control_of(200),
                 incarnation: 1,
                 sequence: self.next_id(),
-                body: ControlBody::News,
+                body: ControlBody::Gossip,
                 rumours: records.iter().cloned().map(Rumour::Member).collect(),
             };
             if self.hosts[to].is_up {
--- a/crates/kumquatquay-core/tests/overload/properties.rs
+++ b/crates/kumquatquay-core/tests/overload/properties.rs
@@ -282,7 +282,7 @@
             cohort,
             remaining_ms,
             allowance_count: 0,
-            is_repeat: false,
+            is_retry: false,
             wants_services: false,
             caller_limit_per_s: 0,
             depth_count: 1,
--- a/crates/kumquatquay-core/tests/overload/step_script.rs
+++ b/crates/kumquatquay-core/tests/overload/step_script.rs
@@ -188,7 +188,7 @@
             sender,
             incarnation: 1,
             sequence: self.sequence,
-            body: ControlBody::News,
+            body: ControlBody::Gossip,
             rumours,
         };
         self.feed(name, Input::Datagram(datagram));
@@ -310,7 +310,7 @@
             cohort: args.maybe("cohort").unwrap_or(0),
             remaining_ms: args.maybe("time-ms").unwrap_or(1_000),
             allowance_count: args.maybe("allowance").unwrap_or(0),
-            is_repeat: args.has("repeat"),
+            is_retry: args.has("repeat"),
             wants_services: false,
             caller_limit_per_s: 0,
             depth_count: 1,
@@ -454,7 +454,7 @@
                     context.class,
                     context.remaining_ms,
                     context.allowance_count,
-                    if context.is_repeat { ", a repeat" } else { "" },
+                    if context.is_retry { ", a repeat" } else { "" },
                 )
                 .unwrap();
                 let sent = Sent {
--- a/crates/kumquatquay-core/tests/support/mesh.rs
+++ b/crates/kumquatquay-core/tests/support/mesh.rs
@@ -52,7 +52,7 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    BulkQuestion {
+    BulkRequest {
         from: SocketAddr,
         to: SocketAddr,
         bytes: Vec<u8>,
@@ -257,7 +257,7 @@
                 host.usage.bulk_sent_bytes += question.len() as u64;
                 let is_there = self.is_reachable(from, to) && self.is_reachable(to, from);
                 let message = if is_there {
-                    Message::BulkQuestion {
+                    Message::BulkRequest {
                         from,
                         to,
                         bytes: question,
@@ -365,7 +365,7 @@
                     self.receive(to, &bytes);
                 }
             }
-            Message::BulkQuestion { from, to, bytes } => {
+            Message::BulkRequest { from, to, bytes } => {
                 self.messages_count += 1;
                 let exchange = self.messages_count;
                 self.exchanges.insert(exchange, (from, to));
--- a/crates/kumquatquay-wire/src/bulk/bulk_answer.rs
+++ b/crates/kumquatquay-wire/src/bulk/bulk_answer.rs
@@ -5,7 +5,7 @@
 use super::{decode, encode};
 use crate::{DataCentreMembers, WireError};
 
-/// Answers a [`BulkQuestion`](crate::BulkQuestion).
+/// Answers a [`BulkRequest`](crate::BulkRequest).
 ///
 /// The host that carries it adds the authentication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/kumquatquay-wire/src/bulk/bulk_question.rs
+++ b/crates/kumquatquay-wire/src/bulk/bulk_request.rs
@@ -12,13 +12,13 @@
 /// # Examples
 ///
 /// ```
-/// use kumquatquay_wire::BulkQuestion;
+/// use kumquatquay_wire::BulkRequest;
 ///
-/// let question = BulkQuestion::Members { known: Vec::new() };
-/// assert_eq!(BulkQuestion::from_bytes(&question.to_bytes()), Ok(question));
+/// let question = BulkRequest::Members { known: Vec::new() };
+/// assert_eq!(BulkRequest::from_bytes(&question.to_bytes()), Ok(question));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BulkQuestion {
+pub enum BulkRequest {
     /// The members of each data centre whose digest differs.
     Members {
         /// What the asker knows; a data centre that it has not heard of is missing.
@@ -31,7 +31,7 @@
     },
 }
 
-impl BulkQuestion {
+impl BulkRequest {
     /// The longest question that is sent or read, in bytes.
     pub const LIMIT_BYTES: usize = 64 * 1024;
 
--- a/crates/kumquatquay-wire/src/bulk/mod.rs
+++ b/crates/kumquatquay-wire/src/bulk/mod.rs
@@ -1,11 +1,11 @@
 //! State that is too large for datagrams, asked for and answered over TCP.
 
 mod bulk_answer;
-mod bulk_question;
+mod bulk_request;
 mod data_centre_members;
 
 pub use bulk_answer::BulkAnswer;
-pub use bulk_question::BulkQuestion;
+pub use bulk_request::BulkRequest;
 pub use data_centre_members::{DataCentreDigest, DataCentreMembers};
 
 use serde::{Serialize, de::DeserializeOwned};
--- a/crates/kumquatquay-wire/src/configuration/exchange.rs
+++ b/crates/kumquatquay-wire/src/configuration/exchange.rs
@@ -8,7 +8,7 @@
 
 /// Asks another node for what it knows beyond a place of the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationQuestion {
+pub struct ConfigurationRequest {
     /// The last record that the asking node has taken in.
     pub through: Option<LogOffset>,
     /// Whether only the version in force is asked for.
@@ -60,5 +60,5 @@
     };
 }
 
-codec!(ConfigurationQuestion);
+codec!(ConfigurationRequest);
 codec!(ConfigurationAnswer);
--- a/crates/kumquatquay-wire/src/control/datagram.rs
+++ b/crates/kumquatquay-wire/src/control/datagram.rs
@@ -55,7 +55,8 @@
         digest: TableDigest,
     },
     /// Carries rumours only.
-    News,
+    #[serde(rename = "News")]
+    Gossip,
     /// Carries the sender's own record and asks for the receiver's.
     Introduce,
 }
--- a/crates/kumquatquay-wire/src/lib.rs
+++ b/crates/kumquatquay-wire/src/lib.rs
@@ -25,11 +25,11 @@
 
 pub use answer_context::{AnswerContext, LoadReport};
 pub use backend_life::BackendLife;
-pub use bulk::{BulkAnswer, BulkQuestion, DataCentreDigest, DataCentreMembers};
+pub use bulk::{BulkAnswer, BulkRequest, DataCentreDigest, DataCentreMembers};
 pub use caller_proof::CallerProof;
 pub use configuration::{
     AcceptedChange, CallerLimit, ChangeId, ConfigurationAnswer, ConfigurationChange,
-    ConfigurationQuestion, ConfigurationRecord, ConfigurationSnapshot, IdempotencyRule, Intent,
+    ConfigurationRecord, ConfigurationRequest, ConfigurationSnapshot, IdempotencyRule, Intent,
     IntentChange, IntentEntry, Priority, RecordDigest, RoutePattern, SealedPlan, change_id_text,
 };
 pub use control::{
--- a/crates/kumquatquay-wire/src/request_context.rs
+++ b/crates/kumquatquay-wire/src/request_context.rs
@@ -32,7 +32,8 @@
     pub allowance_count: u16,
     /// Whether an earlier attempt of this subtree may have run, so that each of
     /// its calls has to be paid from the retry allowance.
-    pub is_repeat: bool,
+    #[serde(rename = "is_repeat")]
+    pub is_retry: bool,
     /// Whether the answer should name every service that the subtree touched.
     pub wants_services: bool,
     /// Calls a second that the caller may make to the service, over all nodes;
--- a/crates/kumquatquay-wire/tests/configuration.rs
+++ b/crates/kumquatquay-wire/tests/configuration.rs
@@ -1,8 +1,8 @@
 //! Encodings of the configuration: whole, or refused.
 
 use kumquatquay_wire::{
-    CallerProof, ConfigurationAnswer, ConfigurationChange, ConfigurationQuestion,
-    ConfigurationRecord, ConfigurationSnapshot, Intent, IntentChange, MeshKey, Priority,
+    CallerProof, ConfigurationAnswer, ConfigurationChange, ConfigurationRecord,
+    ConfigurationRequest, ConfigurationSnapshot, Intent, IntentChange, MeshKey, Priority,
     RoutePattern, SealedPlan, WireError,
 };
 use quickcheck::quickcheck;
@@ -88,7 +88,7 @@
     }
 
     fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
-        let _ = ConfigurationQuestion::from_bytes(&bytes);
+        let _ = ConfigurationRequest::from_bytes(&bytes);
         let _ = ConfigurationAnswer::from_bytes(&bytes);
         ConfigurationRecord::from_bytes(&bytes, &key()).is_err()
     }
--- a/crates/kumquatquay-wire/tests/decoders.rs
+++ b/crates/kumquatquay-wire/tests/decoders.rs
@@ -6,7 +6,7 @@
 
 use arbitrary::Unstructured;
 use kumquatquay_wire::{
-    AnswerContext, BulkAnswer, BulkQuestion, ControlBody, Datagram, MeshKey, RequestContext,
+    AnswerContext, BulkAnswer, BulkRequest, ControlBody, Datagram, MeshKey, RequestContext,
     WireError,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -51,7 +51,7 @@
     while datagram.size_bytes() > Datagram::LIMIT_BYTES {
         datagram.rumours.pop();
         if datagram.rumours.is_empty() {
-            datagram.body = ControlBody::News;
+            datagram.body = ControlBody::Gossip;
         }
     }
     datagram
@@ -148,7 +148,7 @@
         let answer = values::answer(&mut bytes).unwrap_or(BulkAnswer::Members {
             data_centres: Vec::new(),
         });
-        BulkQuestion::from_bytes(&question.to_bytes()) == Ok(question)
+        BulkRequest::from_bytes(&question.to_bytes()) == Ok(question)
             && BulkAnswer::from_bytes(&answer.to_bytes()) == Ok(answer)
     }
 
@@ -191,7 +191,7 @@
     let mut question = vec![0];
     question.extend([0xff; 9]);
     question.push(0x01);
-    let refused = BulkQuestion::from_bytes(&question);
+    let refused = BulkRequest::from_bytes(&question);
     assert_eq!(refused, Err(WireError::Malformed));
     assert_eq!(BulkAnswer::from_bytes(&question), Err(WireError::Malformed));
 }
@@ -202,8 +202,8 @@
 fn what_is_too_long_is_refused_by_its_length() {
     let long = vec![0; Datagram::LIMIT_BYTES + 1];
     assert_eq!(Datagram::from_bytes(&long, &key()), Err(WireError::TooLong));
-    let long = vec![0; BulkQuestion::LIMIT_BYTES + 1];
-    assert_eq!(BulkQuestion::from_bytes(&long), Err(WireError::TooLong));
+    let long = vec![0; BulkRequest::LIMIT_BYTES + 1];
+    assert_eq!(BulkRequest::from_bytes(&long), Err(WireError::TooLong));
     let long = vec![0; BulkAnswer::LIMIT_BYTES + 1];
     assert_eq!(BulkAnswer::from_bytes(&long), Err(WireError::TooLong));
     let long = "A".repeat(64 * 1024);
--- a/crates/kumquatquay-wire/tests/fuzz.rs
+++ b/crates/kumquatquay-wire/tests/fuzz.rs
@@ -8,8 +8,8 @@
 
 use arbitrary::{Result, Unstructured};
 use kumquatquay_wire::{
-    AnswerContext, BulkAnswer, BulkQuestion, ConfigurationAnswer, ConfigurationQuestion,
-    ConfigurationRecord, Datagram, MeshKey, RequestContext, WireError,
+    AnswerContext, BulkAnswer, BulkRequest, ConfigurationAnswer, ConfigurationRecord,
+    ConfigurationRequest, Datagram, MeshKey, RequestContext, WireError,
 };
 
 /// Inputs of one run.
@@ -49,7 +49,7 @@
     }
     let question = values::question(bytes)?;
     let answer = values::answer(bytes)?;
-    assert_eq!(BulkQuestion::from_bytes(&question.to_bytes()), Ok(question));
+    assert_eq!(BulkRequest::from_bytes(&question.to_bytes()), Ok(question));
     assert_eq!(BulkAnswer::from_bytes(&answer.to_bytes()), Ok(answer));
     Ok(Verdict::Whole)
 }
@@ -80,13 +80,13 @@
     assert!(RequestContext::from_header(&text, key).is_err());
     assert!(AnswerContext::from_header(&text, key).is_err());
     assert!(ConfigurationRecord::from_bytes(rest, key).is_err());
-    if let Ok(question) = ConfigurationQuestion::from_bytes(rest) {
+    if let Ok(question) = ConfigurationRequest::from_bytes(rest) {
         assert!(question.to_bytes().len() <= rest.len());
     }
     if let Ok(answer) = ConfigurationAnswer::from_bytes(rest) {
         assert!(answer.to_bytes().len() <= rest.len());
     }
-    if let Ok(question) = BulkQuestion::from_bytes(rest) {
+    if let Ok(question) = BulkRequest::from_bytes(rest) {
         assert!(question.to_bytes().len() <= rest.len());
     }
     if let Ok(answer) = BulkAnswer::from_bytes(rest) {
--- a/crates/kumquatquay-wire/tests/support/values.rs
+++ b/crates/kumquatquay-wire/tests/support/values.rs
@@ -4,7 +4,7 @@
 
 use arbitrary::{Result, Unstructured};
 use kumquatquay_wire::{
-    BackendLife, BulkAnswer, BulkQuestion, ControlBody, DataCentreDigest, DataCentreMembers,
+    BackendLife, BulkAnswer, BulkRequest, ControlBody, DataCentreDigest, DataCentreMembers,
     Datagram, Importance, MemberRecord, MemberState, MemberStatus, Rumour, ServiceLevel,
 };
 
@@ -21,12 +21,12 @@
     })
 }
 
-pub(crate) fn question(bytes: &mut Unstructured<'_>) -> Result<BulkQuestion> {
+pub(crate) fn question(bytes: &mut Unstructured<'_>) -> Result<BulkRequest> {
     Ok(match bytes.int_in_range(0..=1)? {
-        0 => BulkQuestion::Members {
+        0 => BulkRequest::Members {
             known: several(bytes, digest)?,
         },
-        _ => BulkQuestion::Configuration {
+        _ => BulkRequest::Configuration {
             payload: bytes.arbitrary()?,
         },
     })
@@ -77,7 +77,7 @@
             data_centre: bytes.arbitrary()?,
             digest: bytes.arbitrary()?,
         },
-        _ => ControlBody::News,
+        _ => ControlBody::Gossip,
     })
 }
 
