--- a/crates/kumquatquay-core/src/membership/byte_budget.rs
+++ b/crates/kumquatquay-core/src/membership/byte_budget.rs
@@ -1,4 +1,4 @@
-//! A limit on bytes a second.
+//! Rate limit on bytes sent.
 
 use std::time::Duration;
 
@@ -7,7 +7,9 @@
 pub(crate) struct ByteBudget {
     rate_bytes_per_s: u64,
     burst_bytes: u64,
-    /// Tokens, in bytes times microseconds, so that no part of one gets lost.
+    /// Tokens, of which [`TOKENS_PER_BYTE`] stand for one byte.
+    ///
+    /// A refill adds the rate for each microsecond, so it is exact without fractions.
     tokens: u64,
     refilled_at: Duration,
 }
@@ -35,7 +37,7 @@
         (self.tokens / TOKENS_PER_BYTE) as usize
     }
 
-    /// Takes bytes that were sent.
+    /// Deducts bytes that were sent.
     pub(super) fn spend(&mut self, bytes: usize) {
         let tokens = (bytes as u64).saturating_mul(TOKENS_PER_BYTE);
         self.tokens = self.tokens.saturating_sub(tokens);
--- a/crates/kumquatquay-core/src/membership/candidate.rs
+++ b/crates/kumquatquay-core/src/membership/candidate.rs
@@ -1,30 +1,32 @@
-//! A backend server that takes calls.
+//! Backend servers that the load balancer may pick.
 
 use std::{net::SocketAddr, time::Duration};
 
 use kumquatquay_wire::{DataCentreName, Incarnation, MemberRecord, MemberState};
 
-/// A backend server that takes calls of a service.
+/// A backend server that takes calls of a service, as the member table knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate {
     /// Control address, which identifies the node.
     pub(crate) control: SocketAddr,
-    /// Where calls are sent.
+    /// Address to which calls are sent.
     pub(crate) peer: SocketAddr,
     /// Data centre of the host.
     pub(crate) data_centre: DataCentreName,
-    /// Life of the node; what was learnt of another life doesn't hold for it.
+    /// Incarnation of the node; what was observed of another incarnation doesn't apply to it.
     pub(crate) incarnation: Incarnation,
     /// Whether it is in this node's data centre.
     pub(crate) is_own_data_centre: bool,
-    /// Whether it has announced that it is still cold.
+    /// Whether it has announced that it is still warming up.
     pub(crate) is_warming: bool,
-    /// Whether a prober doubts that it is alive.
+    /// Whether it is suspected because a probe of it failed.
     pub(crate) is_suspect: bool,
-    /// Requests that it says it can run at the same time.
+    /// Concurrent requests that it announces it can run.
     pub(crate) slots_count: u32,
-    /// Since when it takes calls, on this node's monotonic clock; zero if it
-    /// did so before this node knew it. Slow start counts from here.
+    /// When it began to take calls, by this node's monotonic clock; the slow start counts from
+    /// here.
+    ///
+    /// Zero if it took calls before this node knew of it.
     pub(crate) takes_calls_since: Duration,
 }
 
@@ -44,7 +46,7 @@
     }
 }
 
-/// Whether a member takes calls in this state.
+/// Whether the backend server of a member in this state takes calls.
 pub(super) fn takes_calls(state: MemberState) -> bool {
     matches!(state, MemberState::Warming | MemberState::Serving)
 }
--- a/crates/kumquatquay-core/src/membership/controller.rs
+++ b/crates/kumquatquay-core/src/membership/controller.rs
@@ -1,4 +1,4 @@
-//! The entrance to membership: where its inputs go.
+//! Dispatches the inputs of the membership to its parts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,32 +14,35 @@
     quarantine,
 };
 
-/// How long a member that is gone is remembered.
+/// How long the record of a member that is gone is kept.
 ///
-/// The memory keeps old news from bringing it back. Who was cut off for longer
-/// than this and still lists it can do no lasting harm: its own data centre
-/// probes it and declares it gone again, and other data centres drop it when a
-/// complete table of that data centre doesn't name it.
+/// The record keeps old rumours from bringing the member back. A node that was partitioned for
+/// longer and still lists the member does no lasting harm: the member's own data centre probes
+/// it and declares it gone again, and other data centres remove it when a complete table of
+/// that data centre lacks it.
 const GONE_LIFETIME: Duration = Duration::from_secs(60 * 60);
 
-/// The longest name of a service; a record with a longer one might fit no
-/// datagram, and the member would be known to nobody.
+/// Longest name of a service.
+///
+/// A record with a longer one might not fit into a datagram, and no node would learn of the
+/// member.
 const SERVICE_LIMIT_BYTES: usize = 128;
 
-/// Members that are gone and remembered, at most.
+/// Records of gone members that are kept at most.
 const GONE_LIMIT_COUNT: usize = 4_096;
 
-/// How often a sender is told that its incarnation is too low.
+/// Shortest interval between two replies to senders whose incarnation is too low.
 const CORRECTION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time without a tick that is taken for a standstill.
+/// Time without a tick after which this node counts as having stalled.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Addresses of a register to which a node introduces itself at once; at 300
-/// bytes each that is 19 KB, and the others hear of it from these.
+/// Addresses of a register to which a node introduces itself at once.
+///
+/// At 300 bytes each that is 19 KB; the other nodes learn of it by gossip from these.
 const INTRODUCTIONS_COUNT: usize = 64;
 
-/// How often members that are gone are forgotten.
+/// Interval at which old records of gone members are removed.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
 pub(crate) fn on_backend(
@@ -52,7 +55,7 @@
         BackendInput::Announced(announcement)
             if announcement.service.len() > SERVICE_LIMIT_BYTES =>
         {
-            let detail = format!("a service's name has at most {SERVICE_LIMIT_BYTES} bytes");
+            let detail = format!("the service name exceeds {SERVICE_LIMIT_BYTES} bytes");
             out.push(Output::Note(Note::warn("announcement_refused", detail)));
         }
         BackendInput::Announced(announcement) => {
@@ -91,10 +94,10 @@
     }
 }
 
-/// Starts timers of others' answers anew after this node stood still.
+/// Restarts suspicion timers and drops the current probe after this node has stalled.
 ///
-/// Answers and refutations may wait unread in its socket. By its clock they are
-/// overdue, and it would declare hosts gone that answered long ago.
+/// Answers and refutations may still be unread in its socket. By its clock they are overdue, and
+/// it would declare hosts gone that answered long ago.
 fn detect_stall(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let last = board.membership.last_tick.replace(now.monotonic);
     let passed = now.monotonic.saturating_sub(last.unwrap_or(now.monotonic));
@@ -103,7 +106,7 @@
     }
     board.membership.suspicions.restart_timers(now.monotonic);
     prober::cancel_probe(board);
-    let detail = format!("this node stood still for {} ms", passed.as_millis());
+    let detail = format!("this node stalled for {} ms", passed.as_millis());
     out.push(Output::Note(Note::warn("stood_still", detail)));
 }
 
@@ -147,10 +150,10 @@
 
 /// Introduces this node to addresses that the host found in a register.
 ///
-/// Each node that starts does so after it has put its own address there, so of
-/// any two the later one knows of the earlier one, and its introduction brings
-/// each the other's record. Asking a single one for the members isn't enough:
-/// where all start at once, it may know nobody either.
+/// Each node does so at its start, after it has registered its own address. Of any two nodes
+/// the later one therefore finds the earlier one, and its introduction gives each the other's
+/// record. Requesting the members from a single node is not enough: if all nodes start at
+/// once, that node may not know any member either.
 pub(crate) fn on_seeds(
     board: &mut Blackboard,
     now: Moment,
@@ -162,8 +165,8 @@
     }
     let own = [Rumour::Member(board.members.own().clone())];
     let unknown = seeds.iter().filter(|seed| is_unknown(board, **seed));
-    // Entries of hosts that are gone for good stay in a register. Taken in its order,
-    // they could keep this node from ever reaching the others.
+    // Entries of hosts that are gone for good stay in a register. If the register's order were
+    // used, they could keep this node from ever reaching the others.
     let mut unknown: Vec<SocketAddr> = unknown.copied().collect();
     unknown.shuffle(&mut board.random);
     unknown.truncate(INTRODUCTIONS_COUNT);
@@ -172,17 +175,17 @@
     }
 }
 
-/// Whether an address belongs to no member that is believed to be there.
+/// Whether an address belongs to no member, or to one that is gone.
 fn is_unknown(board: &Blackboard, control: SocketAddr) -> bool {
     let known = board.members.get(control);
     known.is_none_or(|known| known.state == MemberState::Gone)
 }
 
-/// Whether a datagram is taken in: each one once, and none of an earlier life.
+/// Whether a datagram is accepted: neither a replay nor of an earlier incarnation.
 ///
-/// A sender whose incarnation is too low is told so: it may be a new host whose
-/// clock is behind. For a message of an old life that arrives late, the answer
-/// reaches the new one and tells it nothing new.
+/// A sender whose incarnation is too low is sent the record known here, since it may be a new
+/// host whose clock is behind. If the datagram was a late one of an earlier incarnation, the
+/// reply reaches the current one, which learns nothing new from it.
 fn is_fresh(
     board: &mut Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/membership/data_centre_liveness.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_liveness.rs
@@ -1,4 +1,4 @@
-//! Other data centres that nobody has heard of for long.
+//! When other data centres were last heard from.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -6,30 +6,30 @@
 
 use crate::{Blackboard, Moment, Note, Output};
 
-/// How long the members of a silent data centre are remembered.
+/// How long the members of a silent data centre stay in the member table.
 ///
-/// Its members are not probed from here, so a data centre that is lost for good
-/// would stay in all tables. In one of 255 hosts each of them hears a digest of
-/// each other data centre every 11 minutes on average, so hearing none for this
-/// long is no chance. One that was only cut off is known again within seconds
-/// of the heal, from its digest.
+/// Members of other data centres are not probed, so a data centre that is lost for good would
+/// stay in all tables. Each host of a data centre of 255 receives a digest of each other data
+/// centre every 11 minutes on average, so silence this long is no coincidence. A data centre
+/// that was only partitioned is known again within seconds after the partition heals, by its
+/// digest.
 const SILENCE_LIMIT: Duration = Duration::from_secs(6 * 60 * 60);
 
-/// When this node last heard of each other data centre from one of its members.
+/// When this node last received a datagram from each other data centre.
 #[derive(Debug, Default)]
 pub(crate) struct DataCentreLiveness {
     heard: BTreeMap<DataCentreName, Duration>,
 }
 
 impl DataCentreLiveness {
-    /// Whether what others say of the members of a data centre is too old.
+    /// Whether nothing was received from a data centre for [`SILENCE_LIMIT`].
     pub(super) fn is_expired(&self, now: Duration, data_centre: &DataCentreName) -> bool {
         let heard = self.heard.get(data_centre);
         heard.is_some_and(|heard| now >= *heard + SILENCE_LIMIT)
     }
 }
 
-/// Hears a member of some data centre.
+/// Records contact with the data centre of a sender, if the sender is a known member.
 pub(super) fn on_datagram_from(board: &mut Blackboard, now: Moment, from: SocketAddr) {
     let Some(record) = board.members.get(from) else {
         return;
@@ -38,7 +38,7 @@
     record_contact(board, now, &data_centre);
 }
 
-/// Hears a data centre's own word.
+/// Records contact with a data centre, if it is one that [`forget`] watches.
 pub(super) fn record_contact(board: &mut Blackboard, now: Moment, data_centre: &DataCentreName) {
     let heard = &mut board.membership.data_centre_liveness.heard;
     if let Some(heard) = heard.get_mut(data_centre) {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Forgets the members of data centres that have been silent for too long.
+/// Removes the members of data centres that have been silent for [`SILENCE_LIMIT`].
 pub(super) fn forget(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let own = &board.settings.data_centre;
     let views = board.members.views();
@@ -61,7 +61,7 @@
             .is_expired(now.monotonic, &name)
         {
             board.members.forget_data_centre(&name);
-            let detail = format!("nobody in {name} was heard for {SILENCE_LIMIT:?}");
+            let detail = format!("received nothing from {name} for {SILENCE_LIMIT:?}");
             out.push(Output::Note(Note::warn("data_centre_forgotten", detail)));
         }
     }
--- a/crates/kumquatquay-core/src/membership/data_centre_relay.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_relay.rs
@@ -1,4 +1,4 @@
-//! News of the own data centre for the others.
+//! Relays gossip of the own data centre to other data centres.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -8,44 +8,46 @@
 use super::{sender, transmit_counts::TransmitCounts};
 use crate::{Blackboard, Moment, Output};
 
-/// Members of a data centre that carry its news to one other data centre.
+/// Relay nodes of a data centre for each other data centre.
 ///
-/// Each pair of data centres has its own carriers, so no node carries for all.
-/// Two of them do the same work: that needs no election, a double is harmless,
-/// and one of them may be gone without anybody noticing.
+/// Each pair of data centres has its own relay nodes, so no node relays to all. Both relay the
+/// same: this needs no election, duplicates are harmless, and one of them may fail unnoticed.
 const RELAYS_COUNT: usize = 2;
 
-/// How often it is looked up which pairs this node carries for.
+/// Shortest interval at which this node determines where it is a relay node.
 const RANK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often news are sent while there are any.
+/// Interval of the rounds in which queued rumours are sent.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Times that each carrier tells a piece of news, each time to another member.
+/// Times that each relay node sends a record, each time to a random member.
 const TRANSMITS_COUNT: u8 = 3;
 
-/// How often the digest of the own data centre is sent.
+/// Interval at which the digest of the own data centre is sent.
 const DIGEST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How often it is sent when the own data centre is never unchanged for long.
+/// Interval of digests while the member table is never unchanged for [`QUIET_TIME`].
 const BUSY_DIGEST_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How often levels and quarantine records are sent while there are any.
+/// Interval at which rumours that are not about members are sent.
 const OTHERS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the own data centre must be unchanged before its digest is sent:
-/// what changed just now is still on its way, and would look like a loss.
+/// How long the member table must be unchanged before digests are sent every
+/// [`DIGEST_INTERVAL`].
+///
+/// A recent change is still being gossiped, and the receiver would take the difference for a
+/// loss.
 const QUIET_TIME: Duration = Duration::from_secs(3);
 
-/// Members that wait to be told of to one data centre; above it, the digest
-/// shows the other side that it misses something.
+/// Members queued for one data centre at most; beyond it, the digest shows the receiver that it
+/// lacks something.
 const PENDING_LIMIT_COUNT: usize = 1_024;
 
-/// Members of the own data centre of which a data centre is told at first; of
-/// more, only the digest is told.
+/// Largest own data centre whose members are all queued for a data centre to which this node
+/// begins to relay; of a larger one only the digest is sent.
 const INITIAL_MEMBERS_LIMIT_COUNT: usize = 16;
 
-/// Other data centres that this node tells of its own.
+/// Data centres to which this node relays gossip of its own.
 #[derive(Debug, Default)]
 pub(crate) struct DataCentreRelay {
     queues: BTreeMap<DataCentreName, RelayQueue>,
@@ -56,7 +58,7 @@
     transmit_counts: TransmitCounts,
 }
 
-/// What is to be told to one data centre.
+/// Members whose records are to be sent to one data centre, with their transmissions so far.
 #[derive(Debug)]
 struct RelayQueue {
     pending: BTreeMap<SocketAddr, u8>,
@@ -73,13 +75,13 @@
 }
 
 impl DataCentreRelay {
-    /// Data centres that this node carries news to.
+    /// Data centres for which this node is a relay node.
     pub(crate) fn relayed_to(&self) -> impl Iterator<Item = &DataCentreName> {
         self.queues.keys()
     }
 }
 
-/// Queues news of a member of the own data centre.
+/// Queues a member of the own data centre for all data centres to which this node relays.
 pub(super) fn queue_member(board: &mut Blackboard, control: SocketAddr) {
     for queue in board.membership.relay.queues.values_mut() {
         if queue.pending.len() < PENDING_LIMIT_COUNT {
@@ -104,7 +106,7 @@
     board.membership.relay.queues = all;
 }
 
-/// Finds the pairs that this node carries for, when members came or went.
+/// Determines the data centres for which this node is a relay node, once members joined or left.
 fn rank(board: &mut Blackboard, now: Moment) {
     let version = board.members.live_version();
     let relay = &board.membership.relay;
@@ -114,12 +116,12 @@
     let members = &board.members;
     let own_name = &board.settings.data_centre;
     let own_weight = weight(own_name, board.settings.control);
-    let near = local_weights(board);
+    let local = local_weights(board);
     let others = members
         .views()
         .filter(|(name, view)| *name != own_name && !view.live().is_empty());
     let names: Vec<DataCentreName> = others
-        .filter(|(name, _)| is_among_highest(&near, own_weight, receiver_salt(name)))
+        .filter(|(name, _)| is_among_highest(&local, own_weight, receiver_salt(name)))
         .map(|(name, _)| name.clone())
         .collect();
     let first = initial_members(board);
@@ -133,11 +135,11 @@
     }
 }
 
-/// What a data centre is told that this node begins to carry news to.
+/// Members that are queued for a data centre to which this node begins to relay.
 ///
-/// Otherwise a data centre that just appeared would learn what changed before
-/// only from a digest, seconds later. In a large data centre it has learnt it from
-/// the other carriers, or from the table that it asked for when it joined.
+/// Otherwise a data centre that just appeared would learn of earlier changes only by a digest,
+/// seconds later. If the own data centre is large, the other has learnt of them from the other
+/// relay nodes, or from the table that it requested when it joined.
 fn initial_members(board: &Blackboard) -> BTreeMap<SocketAddr, u8> {
     let live = board.members.own_view().live();
     if live.len() > INITIAL_MEMBERS_LIMIT_COUNT {
@@ -146,8 +148,9 @@
     live.iter().map(|control| (*control, 0)).collect()
 }
 
-/// Whether this node is one of those that carry news to a receiver, which may be
-/// a stream of the log.
+/// Whether this node is a relay node for a receiver: a data centre, or a stream of the log.
+///
+/// Relay nodes are the members of the own data centre with the highest rendezvous hashes.
 pub(super) fn is_relay_to(board: &Blackboard, receiver: &str) -> bool {
     let own_weight = weight(&board.settings.data_centre, board.settings.control);
     is_among_highest(&local_weights(board), own_weight, receiver_salt(receiver))
@@ -159,9 +162,9 @@
         .collect()
 }
 
-fn is_among_highest(near: &[u64], own_weight: u64, salt: u64) -> bool {
+fn is_among_highest(local: &[u64], own_weight: u64, salt: u64) -> bool {
     let own = mix(own_weight ^ salt);
-    let before = near.iter().filter(|weight| mix(**weight ^ salt) > own);
+    let before = local.iter().filter(|weight| mix(**weight ^ salt) > own);
     before.take(RELAYS_COUNT).count() < RELAYS_COUNT
 }
 
@@ -219,7 +222,7 @@
     }
 }
 
-/// Rumours of other concerns, when their turn has come.
+/// Rumours that are not about members, if [`OTHERS_INTERVAL`] has passed.
 fn due_rumours(board: &mut Blackboard, now: Moment, has_no_queues: bool) -> Vec<Rumour> {
     if has_no_queues || now.monotonic < board.membership.relay.next_others {
         return Vec::new();
@@ -273,7 +276,7 @@
     }
 }
 
-/// Some member of another data centre.
+/// Random member of another data centre.
 fn random_remote_member(
     board: &mut Blackboard,
     data_centre: &DataCentreName,
--- a/crates/kumquatquay-core/src/membership/data_centre_view.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_view.rs
@@ -7,9 +7,9 @@
 /// The members of one data centre, as this node sees them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DataCentreView {
-    /// Control addresses of all members that are not gone, in order.
+    /// Control addresses of all members that are not gone, sorted.
     live: Vec<SocketAddr>,
-    /// Digest of those members.
+    /// Digest of those members: the XOR of the digests of their records.
     digest: TableDigest,
 }
 
--- a/crates/kumquatquay-core/src/membership/draining.rs
+++ b/crates/kumquatquay-core/src/membership/draining.rs
@@ -1,4 +1,4 @@
-//! How a host stops to take new work, and how its node stops.
+//! Draining of a host, and graceful stop of its node.
 
 use std::time::Duration;
 
@@ -7,22 +7,21 @@
 use super::{gossip, merge, sender};
 use crate::{Blackboard, Moment, Note, Output};
 
-/// How long a node stays after it began to leave, though nothing is under way.
+/// How long a node that stops keeps running at least, even if nothing is under way.
 ///
-/// Nodes that have not heard yet still send here; while this node stays, they
-/// get a `not-run` answer that names the reason, and try elsewhere at once. By
-/// then the news is everywhere, see `docs/design/membership.md`.
+/// Nodes that don't know yet still send work here. They get a `not-run` answer with the reason
+/// and try elsewhere at once. After this time all nodes know, see `docs/design/membership.md`.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// Members that a node tells that it is gone.
+/// Members to which a node sends that it is gone.
 const DEPARTURE_MESSAGES_COUNT: usize = 8;
 
-/// Whether and why this host leaves.
+/// Whether this host is drained or stops.
 #[derive(Debug, Default)]
 pub(crate) struct DrainState {
-    /// An operator drains the host.
+    /// Whether an operator has drained the host.
     is_drained: bool,
-    /// The host was asked to stop.
+    /// Progress of the stop, once the node was asked to stop.
     stop: Option<Stop>,
 }
 
@@ -37,7 +36,7 @@
     board.membership.drain_state.is_drained = true;
     update_own_state(board, now);
     OperatorReply::Done {
-        message: String::from("this host takes no new work; what it has is finished"),
+        message: String::from("this host takes no new work and finishes its current work"),
     }
 }
 
@@ -73,11 +72,15 @@
         is_done: false,
     });
     update_own_state(board, now);
-    let detail = format!("takes no new work; stops within {} s", grace.as_secs_f32());
+    let detail = format!(
+        "takes no new work and stops within {} s",
+        grace.as_secs_f32()
+    );
     out.push(Output::Note(Note::info("stopping", detail)));
 }
 
-/// Ends a stop that has begun, once nothing is under way or the grace is over.
+/// Completes a stop once nothing is under way and [`MIN_DRAIN_TIME`] has passed, or once the
+/// grace period is over.
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let under_way_count = under_way_count(board);
     let Some(stop) = board.membership.drain_state.stop.as_mut() else {
@@ -86,15 +89,15 @@
     if stop.is_done {
         return;
     }
-    let is_late = now.monotonic >= stop.until;
-    let is_told = now.monotonic >= stop.began + MIN_DRAIN_TIME;
-    let is_finished = is_told && under_way_count == 0;
-    if !is_late && !is_finished {
+    let is_grace_over = now.monotonic >= stop.until;
+    let is_min_time_over = now.monotonic >= stop.began + MIN_DRAIN_TIME;
+    let is_finished = is_min_time_over && under_way_count == 0;
+    if !is_grace_over && !is_finished {
         return;
     }
     stop.is_done = true;
     if under_way_count > 0 {
-        let detail = format!("the grace ran out with {under_way_count} requests under way");
+        let detail = format!("the grace period ended with {under_way_count} requests under way");
         out.push(Output::Note(Note::warn("grace_ran_out", detail)));
     }
     merge::change_own(board, now, |own| own.state = MemberState::Gone);
@@ -104,8 +107,9 @@
     });
 }
 
-/// Tells some members that this node is gone; they tell the others. Were all
-/// these messages lost, the probes would find out within seconds.
+/// Sends to some members that this node is gone; they gossip it to the others.
+///
+/// If all these messages are lost, the probes detect it within seconds.
 fn send_departure(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     for to in gossip::random_local_members(board, DEPARTURE_MESSAGES_COUNT) {
         sender::send_local(board, now, to, ControlBody::Gossip, out);
@@ -116,17 +120,17 @@
     board.calls.len() + board.gate.running_count() + board.gate.queued_count()
 }
 
-/// Tells the other nodes what state this host is in, if that has changed.
+/// Updates this node's own record, and gossips it if it has changed.
 ///
-/// A drain by an operator and a stop go before what the backend server says of
-/// itself: its next announcement must not bring it new work.
+/// A drain by an operator and a stop override the state that the backend server announces: its
+/// next announcement must not bring it new work.
 pub(super) fn update_own_state(board: &mut Blackboard, now: Moment) {
     let drain_state = &board.membership.drain_state;
     let is_leaving = drain_state.is_drained || drain_state.stop.is_some();
     let announced = board.membership.announcement.as_ref();
     let announced_state = announced.map_or(MemberState::Idle, |announced| announced.state);
     let announced_state = match announced_state {
-        // The node stays when its backend server goes.
+        // The node keeps running when its backend server is gone.
         MemberState::Gone => MemberState::Idle,
         state => state,
     };
--- a/crates/kumquatquay-core/src/membership/gossip.rs
+++ b/crates/kumquatquay-core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Rounds of news within the data centre.
+//! Gossip rounds within the data centre.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,20 +8,20 @@
 use super::{sender, transmit_counts::TransmitCounts};
 use crate::{Blackboard, Moment, Output};
 
-/// How often news are sent while there are any.
+/// Interval of gossip rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Members that news are sent to in a round.
+/// Random members that each round sends to.
 const FANOUT_COUNT: usize = 3;
 
-/// When news are spread, and what besides those of members.
+/// Time of the next gossip round, and transmissions of rumours that are not about members.
 #[derive(Debug, Default)]
 pub(crate) struct GossipRounds {
     next_round: Duration,
     transmit_counts: TransmitCounts,
 }
 
-/// Sends news at once, not with the next round.
+/// Makes the next round due at once.
 pub(super) fn gossip_immediately(board: &mut Blackboard) {
     board.membership.gossip_rounds.next_round = Duration::ZERO;
 }
@@ -42,9 +42,12 @@
     }
 }
 
-/// Counts news that another node knows, since its digest is that of this node, as
-/// told. Without this the news of a mesh that starts at once is told for minutes
-/// after all agree. Doubts have no part in a digest and are told on.
+/// Counts a transmission for each queued record, since another node has reported the same
+/// digest.
+///
+/// Without this, a mesh whose nodes all start at once gossips for minutes after all tables
+/// agree. Suspicions are not part of the digest, so records of suspected members are not
+/// counted.
 pub(super) fn on_agreement(board: &mut Blackboard) {
     let limit = sender::transmit_limit(board);
     let members = &board.members;
@@ -56,7 +59,7 @@
     }
 }
 
-/// Some members of the own data centre, this node not included.
+/// Up to `count` random members of the own data centre, without this node.
 pub(super) fn random_local_members(board: &mut Blackboard, count: usize) -> Vec<SocketAddr> {
     let own = board.settings.control;
     let live = board.members.own_view().live().iter().copied();
--- a/crates/kumquatquay-core/src/membership/gossip_queue.rs
+++ b/crates/kumquatquay-core/src/membership/gossip_queue.rs
@@ -1,46 +1,47 @@
-//! Members whose news is still to be spread.
+//! Queue of members whose records are still to be gossiped.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
 };
 
-/// Members whose news is still to be spread: urgent ones first, then those told
-/// least often.
+/// Members whose records are still to be gossiped: by urgency, then least often sent first.
 ///
-/// Only names are queued. What is told is the newest record at the time of
-/// sending, so a member that changes quickly is queued once.
+/// Only control addresses are queued. The record is read from the member table when it is sent,
+/// so a member that changes often is queued once.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
     order: BTreeSet<(Priority, SocketAddr)>,
     priorities: BTreeMap<SocketAddr, Priority>,
 }
 
-/// Place of a piece of news in the order.
+/// Position in the queue: by urgency, then by transmissions so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Priority {
     urgency: Urgency,
     transmits_count: u32,
 }
 
-/// How long a piece of news can wait.
+/// How soon a record must be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Urgency {
-    /// Work goes to a member that can't take it, or a doubt waits for others to
-    /// confirm it: behind a few hundred new members it would come too late.
+    /// For members that can't take new work but still receive it, and for suspicions.
+    ///
+    /// Others must learn of a suspicion in time. Behind the records of a few hundred new
+    /// members, either would be sent too late.
     High,
-    /// Work could also go there.
+    /// For members that could take work as well.
     Normal,
 }
 
 impl GossipQueue {
-    /// News kept for spreading.
+    /// Members queued at most.
     ///
-    /// What falls out has been told more often than anything kept; who missed
-    /// it finds a different digest and asks for the table.
+    /// The entry of the lowest priority is dropped. A node that missed its record sees a
+    /// different digest and asks for the table.
     const LIMIT_COUNT: usize = 1_024;
 
-    /// Queues news of a member, as never told before.
+    /// Queues a member with no transmissions so far, in place of an earlier entry.
     pub(super) fn push(&mut self, control: SocketAddr, urgency: Urgency) {
         self.remove(control);
         self.insert(control, urgency, 0);
@@ -51,16 +52,15 @@
         }
     }
 
-    /// The members to tell of next.
+    /// Queued members in the order in which they are sent.
     pub(super) fn next(&self) -> impl Iterator<Item = SocketAddr> {
         self.order.iter().map(|(_, control)| *control)
     }
 
-    /// Notes that a member was told of once more, by this node or to it; after
-    /// `limit` times it is enough.
+    /// Counts a transmission of a member's record, and removes the member after `limit` of them.
     ///
-    /// Who hears what it knows already learns that others spread it too. Counting
-    /// that ends the spreading about twice as early, with the same reach.
+    /// A record received that this node already has counts too, since it shows that others
+    /// spread it. This ends the gossip about twice as early, with the same reach.
     pub(super) fn count_transmit(&mut self, control: SocketAddr, limit: u32) {
         let Some(priority) = self.remove(control) else {
             return;
--- a/crates/kumquatquay-core/src/membership/merge.rs
+++ b/crates/kumquatquay-core/src/membership/merge.rs
@@ -1,11 +1,11 @@
-//! How records of members are taken in.
+//! Merges received records into the member table.
 
 use kumquatquay_wire::{Incarnation, MemberRecord, MemberState, MemberStatus};
 
 use super::{data_centre_relay, gossip, gossip_queue::Urgency, member_table::RecordSource, sender};
 use crate::{Blackboard, Counter, Moment, Note, Output};
 
-/// Takes in news of a member, if it is newer than what is known.
+/// Merges a record of a member, if it is newer than the known one.
 pub(super) fn on_record(
     board: &mut Blackboard,
     now: Moment,
@@ -28,10 +28,10 @@
     }
 }
 
-/// Takes in doubt about a member, or its death.
+/// Merges a suspicion of a member, or that it was declared gone.
 ///
-/// It counts only for the very revision that is known here: the member may have
-/// refuted it since, and a node that doesn't know it yet will get its record.
+/// It applies only to the incarnation and revision known here: the member may have refuted it
+/// since, and a node that does not know that revision yet will receive its record.
 pub(super) fn on_status(
     board: &mut Blackboard,
     now: Moment,
@@ -52,7 +52,8 @@
     on_record(board, now, record, out);
 }
 
-/// Takes in a table; tells on what is new, unless it is more than a few records.
+/// Merges the records of a table; gossips the newer ones if they are at most
+/// `forward_limit_count`.
 pub(super) fn on_table(
     board: &mut Blackboard,
     now: Moment,
@@ -92,8 +93,10 @@
     }
 }
 
-/// Whether a record counts more than what is known, and not of a data centre that
-/// is lost: nodes that have not forgotten it yet would bring it back.
+/// Whether a record ranks above the known one.
+///
+/// Records of an expired data centre never do: nodes that have not removed it yet would bring it
+/// back.
 fn is_newer(board: &Blackboard, now: Moment, record: &MemberRecord) -> bool {
     let data_centre_liveness = &board.membership.data_centre_liveness;
     let is_expired = data_centre_liveness.is_expired(now.monotonic, &record.data_centre);
@@ -101,12 +104,12 @@
     !is_expired && known.is_none_or(|known| known.rank() < record.rank())
 }
 
-/// A record as far as this node believes it.
+/// The part of a record that this node accepts.
 ///
-/// Doubts about members of other data centres are theirs to settle. While the
-/// view is held, a death that others declare is a doubt: they may be the part
-/// that is cut off. A member that leaves says so with a revision of its own,
-/// and is believed.
+/// Suspicions of members of other data centres are dropped, as their own data centre resolves
+/// them. During a mass silence, a known revision of a local member that others declare gone is
+/// only suspected: they may be on the minority side of a partition. A member that leaves says
+/// so by a new revision of its own record without a suspicion, which is accepted.
 fn accepted_record(board: &Blackboard, mut record: MemberRecord) -> MemberRecord {
     let is_gone = record.state == MemberState::Gone;
     let is_local = record.data_centre == board.settings.data_centre;
@@ -149,7 +152,7 @@
     }
 }
 
-/// Starts or ends the time that a member has to refute.
+/// Starts or ends the time that a member has to refute a suspicion.
 fn update_suspicion(board: &mut Blackboard, now: Moment, record: &MemberRecord) {
     let known = board.members.get(record.control);
     let was_live = known.is_some_and(|known| known.state != MemberState::Gone);
@@ -165,17 +168,19 @@
     }
 }
 
-/// Whether a member is suspected and may refute.
+/// Whether a member is suspected and not yet declared gone.
 fn is_suspected(record: &MemberRecord) -> bool {
     record.is_suspect && record.state != MemberState::Gone
 }
 
-/// Whether a member was declared gone by others; one that leaves says so itself.
+/// Whether a member was declared gone by others.
+///
+/// The record of a member that leaves has no suspicion.
 fn is_declared_gone(record: &MemberRecord) -> bool {
     record.is_suspect && record.state == MemberState::Gone
 }
 
-/// Hears what others say of this node.
+/// Handles a record of this node received from others, and refutes it if necessary.
 fn on_own_record(
     board: &mut Blackboard,
     now: Moment,
@@ -196,11 +201,11 @@
     }
 }
 
-/// Takes an incarnation above that of an earlier life at this address.
+/// Raises this node's incarnation above that of an earlier node at the same address.
 ///
-/// A new host whose clock is behind would be taken for messages of the old one
-/// that arrive late: nobody would send it work. Only this node numbers its own
-/// records, so a higher number means an earlier life.
+/// If the clock of a new host is behind, its messages would be taken for late messages of the
+/// old host, and no node would send it work. Only this node numbers its own records, so a
+/// higher number must come from an earlier node.
 fn raise_incarnation(
     board: &mut Blackboard,
     now: Moment,
@@ -208,13 +213,13 @@
     out: &mut Vec<Output>,
 ) {
     let incarnation = earlier.saturating_add(1);
-    let detail = format!("an earlier life had incarnation {earlier}; this one is {incarnation}");
+    let detail = format!("raised from an earlier incarnation {earlier} to {incarnation}");
     out.push(Output::Note(Note::warn("incarnation_raised", detail)));
     board.settings.incarnation = incarnation;
     change_own(board, now, |own| own.incarnation = incarnation);
 }
 
-/// Changes this node's own record and spreads it.
+/// Changes this node's own record and gossips it at once.
 pub(super) fn change_own(
     board: &mut Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/membership/mod.rs
+++ b/crates/kumquatquay-core/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Who is there, in this data centre and the others.
+//! Membership and failure detection by a SWIM-like gossip protocol, in the own data centre and
+//! across data centres.
 
 mod bulk_sync;
 mod byte_budget;
--- a/crates/kumquatquay-core/src/membership/replay_windows.rs
+++ b/crates/kumquatquay-core/src/membership/replay_windows.rs
@@ -1,45 +1,45 @@
-//! Which datagrams were taken in already.
+//! Replay protection for datagrams.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use kumquatquay_wire::{Datagram, Incarnation, Sequence};
 
-/// Which datagrams were taken in already, for each sender.
+/// Replay windows of all senders.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayWindows {
     windows: BTreeMap<SocketAddr, ReplayWindow>,
 }
 
-/// Whether a datagram is taken in.
+/// Whether a datagram is accepted, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Freshness {
     /// Not seen before.
     Fresh,
-    /// Seen before, or too old to tell.
+    /// Seen before, or so old that its sequence number is below the window.
     Replayed,
-    /// From an earlier life of the sender.
+    /// From an earlier incarnation of the sender.
     OldIncarnation,
 }
 
-/// The newest numbers of one sender.
+/// Window of the newest sequence numbers of one sender.
 #[derive(Debug)]
 struct ReplayWindow {
     incarnation: Incarnation,
     highest: Sequence,
-    /// Bit `n` stands for the number `highest - n`.
+    /// Bit `n` is set if the sequence number `highest - n` was received.
     seen: u128,
     last_seen: Duration,
 }
 
 impl ReplayWindows {
-    /// Senders that are remembered.
+    /// Senders that have a window; above it, the one silent for longest is evicted.
     ///
-    /// Only nodes of the mesh can add one, since datagrams are authenticated.
-    /// Who evicts a sender by a replay gains the replay of old news only, which
-    /// changes nothing: each record counts by its own rank.
+    /// Only nodes of the mesh can add a sender, since datagrams are authenticated. An attacker
+    /// who evicts a sender by replays can then only replay old rumours, which change nothing:
+    /// a record is merged only if it ranks above the known one.
     const LIMIT_COUNT: usize = 16_384;
 
-    /// Checks a datagram and remembers it.
+    /// Checks a datagram and records its sequence number.
     pub(super) fn check(&mut self, now: Duration, datagram: &Datagram) -> Freshness {
         let sender = datagram.sender;
         let Some(window) = self.windows.get_mut(&sender) else {
--- a/crates/kumquatquay-core/src/membership/state.rs
+++ b/crates/kumquatquay-core/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! What this node keeps to find out who is there.
+//! State of the membership at this node.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,57 +10,59 @@
 };
 use crate::Announcement;
 
-/// Rate of news of members; with what is received it is a third of the 11 KB/s
-/// that a node may spend on control.
+/// Rate at which rumours about members are sent.
+///
+/// Together with the same rate received, it is a third of the 11 KB/s that a node may use for
+/// control traffic.
 const MEMBER_RATE_BYTES_PER_S: u64 = 1_800;
 
-/// News of members that may go out at once: a mass failure must spread fast.
+/// Bytes of rumours about members that may be sent in a burst: a mass failure must spread fast.
 const MEMBER_BURST_BYTES: u64 = 24_000;
 
-/// Rate of news of levels, quarantine and configuration.
+/// Rate at which rumours about levels, quarantine and configuration are sent.
 const OTHER_RATE_BYTES_PER_S: u64 = 1_800;
 
-/// News of levels, quarantine and configuration that may go out at once.
+/// Bytes of rumours about levels, quarantine and configuration that may be sent in a burst.
 const OTHER_BURST_BYTES: u64 = 6_000;
 
-/// What this node keeps to find out who is there.
+/// State of the membership at this node, besides the member table.
 #[derive(Debug)]
 pub(crate) struct Membership {
-    /// What the backend server of this host last said of itself, while it lives.
+    /// Last announcement of the backend server of this host; none once it has died.
     pub(super) announcement: Option<Announcement>,
-    /// Whether and why this host leaves.
+    /// Whether this host is drained or stops.
     pub(super) drain_state: DrainState,
-    /// When the last tick was.
+    /// Time of the last tick.
     pub(super) last_tick: Option<Duration>,
-    /// Number of the last datagram sent.
+    /// Sequence number of the last datagram sent.
     pub(super) last_sequence: u64,
     /// When this node's own record last changed.
     pub(super) own_changed_at: Duration,
-    /// Members whose news is still to be spread.
+    /// Members whose records are still to be gossiped.
     pub(crate) gossip_queue: GossipQueue,
-    /// When and what else is spread.
+    /// Gossip rounds within the data centre, and transmissions of rumours not about members.
     pub(super) gossip_rounds: GossipRounds,
-    /// When members that are gone are forgotten next.
+    /// When members that have been gone for long are next removed from the table.
     pub(super) next_forget: Duration,
-    /// When a sender may next be told that its incarnation is too low.
+    /// Earliest time of the next reply to a sender whose incarnation is too low.
     pub(super) next_correction: Duration,
-    /// Limit on news of members.
+    /// Limit on rumours about members.
     pub(super) member_budget: ByteBudget,
-    /// Limit on other news.
+    /// Limit on other rumours.
     pub(super) other_budget: ByteBudget,
-    /// Datagrams taken in already.
+    /// Datagrams already received, to reject replays.
     pub(super) replay_windows: ReplayWindows,
     /// Probes under way.
     pub(super) prober: Prober,
-    /// Members that do not answer.
+    /// Suspected members of the own data centre.
     pub(crate) suspicions: Suspicions,
-    /// Other data centres that this node tells of its own.
+    /// Data centres to which this node relays gossip of its own.
     pub(crate) relay: DataCentreRelay,
-    /// When other data centres were last heard.
+    /// When other data centres were last heard from.
     pub(super) data_centre_liveness: DataCentreLiveness,
     /// Seeds in the platform's log.
     pub(super) seed_log: SeedLog,
-    /// Exchange of whole tables.
+    /// Exchange of full member tables.
     pub(crate) sync: BulkSync,
 }
 
@@ -90,7 +92,7 @@
 }
 
 impl Membership {
-    /// Remembers a seed that the host found.
+    /// Adds a seed that the host found.
     pub(crate) fn add_seed(&mut self, control: SocketAddr) {
         self.seed_log.add(control);
     }
--- a/crates/kumquatquay-core/src/membership/transmit_counts.rs
+++ b/crates/kumquatquay-core/src/membership/transmit_counts.rs
@@ -1,4 +1,4 @@
-//! How often rumours of other concerns were told.
+//! Transmissions of rumours that are not about members.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,18 +9,20 @@
 
 use crate::{Blackboard, Moment, configuration, overload, quarantine};
 
-/// Rounds in which a change is told.
+/// Rounds in which a change is sent.
 const ROUNDS_COUNT: u32 = 10;
 
-/// How often an unchanged quarantine record is told again, for members that
-/// joined since.
+/// How long after its last transmission an unchanged quarantine record is sent again, for
+/// members that have joined since.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Quarantine records whose telling is remembered; one that is forgotten is told
-/// again, which is harmless.
+/// Quarantine records whose transmissions are counted. At the limit all counts are cleared, and
+/// the records are sent again, which is harmless.
 const LIMIT_COUNT: usize = 1_024;
 
-/// How often rumours of other concerns were told to one kind of receivers.
+/// Transmissions of rumours that are not about members.
+///
+/// There is one instance for the own data centre and one for the others.
 #[derive(Debug, Default)]
 pub(crate) struct TransmitCounts {
     quarantine: BTreeMap<(ServiceName, Fingerprint), RecordTransmits>,
@@ -28,7 +30,7 @@
     version_rounds_count: u32,
 }
 
-/// How far one quarantine record is told.
+/// Transmissions of one quarantine record.
 #[derive(Debug)]
 struct RecordTransmits {
     crashes: Vec<Crash>,
@@ -37,8 +39,10 @@
 }
 
 impl TransmitCounts {
-    /// What is due in this round: a new version, changed quarantine records,
-    /// then levels in random order, so that those that don't fit have their turn.
+    /// Rumours that are due in this round.
+    ///
+    /// These are a new configuration version, changed quarantine records, and then all levels.
+    /// Levels are in random order, so that those that don't fit are sent in another round.
     pub(super) fn due(&mut self, board: &mut Blackboard, now: Moment) -> Vec<Rumour> {
         let mut rumours = Vec::new();
         if let Some(version) = configuration::version_to_gossip(board)
