--- a/crates/kumquatquay-core/src/membership/bulk_sync.rs
+++ b/crates/kumquatquay-core/src/membership/bulk_sync.rs
@@ -1,4 +1,4 @@
-//! Exchange of whole tables.
+//! Exchange of full member tables (anti-entropy).
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,51 +13,52 @@
 };
 use crate::{Blackboard, BulkInput, Counter, Moment, Output, configuration};
 
-/// How often a node that has no table yet asks a seed.
+/// Interval at which a node that has no table yet requests one from a seed or known member.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an answer may take.
+/// How long a node waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long the table must be unchanged before a difference counts as a loss,
-/// not as news on its way.
+/// How long the table must be unchanged before a different digest counts as a lost record, not
+/// as one that is still being gossiped.
 const QUIET_TIME: Duration = Duration::from_secs(3);
 
-/// How long a difference must last.
+/// How long a difference must last before the table is requested.
 const DIFFERENCE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long a difference must last when the table is never unchanged for long.
+/// How long a difference must last while the table is never unchanged for [`QUIET_TIME`].
 const BUSY_DIFFERENCE_TIME: Duration = Duration::from_secs(30);
 
-/// The shortest and longest pause between two questions; it doubles while the
-/// answers bring nothing new.
+/// Shortest and longest pause between two requests; it doubles while answers bring nothing new.
 const MIN_PAUSE: Duration = Duration::from_secs(10);
 const MAX_PAUSE: Duration = Duration::from_secs(300);
 
-/// How long a node takes every difference for a loss after it has joined, and
-/// the pause between its questions.
+/// How long after it has joined a node takes each difference for a loss, and its pause between
+/// requests in that time.
 const JUST_JOINED_TIME: Duration = Duration::from_secs(60);
 const JUST_JOINED_PAUSE: Duration = Duration::from_secs(4);
 
-/// New records of one answer that are told on, at most. More of them spread
-/// cheaper from table to table, and would hold up other news for a minute.
+/// Newer records of one answer that are gossiped at most.
+///
+/// More of them spread at lower cost by exchanges of tables, and would delay other rumours for a
+/// minute.
 const FORWARD_LIMIT_COUNT: usize = 64;
 
-/// How long a member must be unchanged here before its absence from a complete
-/// answer means that it is gone; the answer may be older than the newest news.
+/// How long a member must be unchanged here before its absence from a complete answer means that
+/// it is gone; the answer may be older than the newest rumours.
 const ABSENCE_AGE: Duration = Duration::from_secs(60);
 
-/// How long a node must have had its table before it calls it complete.
+/// How long after it has joined a node reports its table as complete.
 const COMPLETE_AFTER: Duration = Duration::from_secs(30);
 
-/// Exchange of whole tables.
+/// Exchange of full member tables.
 #[derive(Debug)]
 pub(crate) struct BulkSync {
-    /// When the first table arrived.
+    /// When the first table arrived, or when this node found that it is the first one.
     joined_at: Option<Duration>,
     next_join: Duration,
-    asked_until: Option<Duration>,
-    next_question: Duration,
+    answer_deadline: Option<Duration>,
+    next_request: Duration,
     pause: Duration,
     differs_since: Option<Duration>,
 }
@@ -67,8 +68,8 @@
         Self {
             joined_at: None,
             next_join: Duration::ZERO,
-            asked_until: None,
-            next_question: Duration::ZERO,
+            answer_deadline: None,
+            next_request: Duration::ZERO,
             pause: MIN_PAUSE,
             differs_since: None,
         }
@@ -76,19 +77,24 @@
 }
 
 impl BulkSync {
-    /// Whether this node has had a whole table from another one, or is the first.
+    /// Whether this node has received a table from another node, or is the first.
     pub(crate) fn is_joined(&self) -> bool {
         self.joined_at.is_some()
     }
 }
 
-/// Asks a seed for its table until one answers; a node without seeds is the first.
+/// Requests a table from seeds or known members until one answers; a node that has neither is
+/// the first.
 pub(super) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let sync = &mut board.membership.sync;
-    if sync.asked_until.is_some_and(|until| now.monotonic >= until) {
-        sync.asked_until = None;
+    if sync
+        .answer_deadline
+        .is_some_and(|deadline| now.monotonic >= deadline)
+    {
+        sync.answer_deadline = None;
     }
-    if sync.joined_at.is_some() || sync.asked_until.is_some() || now.monotonic < sync.next_join {
+    if sync.joined_at.is_some() || sync.answer_deadline.is_some() || now.monotonic < sync.next_join
+    {
         return;
     }
     sync.next_join = now.monotonic + JOIN_INTERVAL;
@@ -102,11 +108,12 @@
         return;
     };
     board.membership.gossip_queue.push(own, Urgency::High);
-    ask(board, now, to, out);
+    request_table(board, now, to, out);
     sender::send_local(board, now, to, ControlBody::Gossip, out);
 }
 
-/// Hears the digest of a member of the own data centre.
+/// Compares the digest of a member of the own data centre, and requests its table if they differ
+/// for long.
 pub(super) fn on_local_digest(
     board: &mut Blackboard,
     now: Moment,
@@ -123,11 +130,12 @@
     let differs_since = &mut board.membership.sync.differs_since;
     let lasted = now.monotonic - *differs_since.get_or_insert(now.monotonic);
     if lasted >= BUSY_DIFFERENCE_TIME || (is_quiet && lasted >= DIFFERENCE_TIME) {
-        ask_after_pause(board, now, from, out);
+        request_table_after_pause(board, now, from, out);
     }
 }
 
-/// Hears the digest of another data centre, from one of its members.
+/// Compares the digest of another data centre, sent by one of its members, and requests the
+/// sender's table if it differs.
 pub(super) fn on_remote_digest(
     board: &mut Blackboard,
     now: Moment,
@@ -139,7 +147,7 @@
     let known = board.members.view(data_centre);
     let known = known.map_or(0, DataCentreView::digest);
     if digest != known && is_quiet(board, now) {
-        ask_after_pause(board, now, from, out);
+        request_table_after_pause(board, now, from, out);
     }
 }
 
@@ -147,25 +155,32 @@
     has_just_joined(board, now) || now.monotonic >= board.members.last_changed_at() + QUIET_TIME
 }
 
-/// Whether this node joined just now: its first table may have come from a node
-/// that had little itself, as when a whole data centre starts at once.
+/// Whether this node joined less than [`JUST_JOINED_TIME`] ago.
+///
+/// Its first table may have come from a node that knew few members itself, as when all nodes
+/// of a data centre start at once.
 fn has_just_joined(board: &Blackboard, now: Moment) -> bool {
     let joined = board.membership.sync.joined_at;
     joined.is_some_and(|joined| now.monotonic < joined + JUST_JOINED_TIME)
 }
 
-fn ask_after_pause(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
+fn request_table_after_pause(
+    board: &mut Blackboard,
+    now: Moment,
+    to: SocketAddr,
+    out: &mut Vec<Output>,
+) {
     let sync = &board.membership.sync;
-    if sync.asked_until.is_none() && now.monotonic >= sync.next_question {
-        ask(board, now, to, out);
+    if sync.answer_deadline.is_none() && now.monotonic >= sync.next_request {
+        request_table(board, now, to, out);
     }
 }
 
-fn ask(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
+fn request_table(board: &mut Blackboard, now: Moment, to: SocketAddr, out: &mut Vec<Output>) {
     board.counters.increment(Counter::TablesAsked);
     let sync = &mut board.membership.sync;
-    sync.asked_until = Some(now.monotonic + ANSWER_TIMEOUT);
-    sync.next_question = now.monotonic + sync.pause;
+    sync.answer_deadline = Some(now.monotonic + ANSWER_TIMEOUT);
+    sync.next_request = now.monotonic + sync.pause;
     let views = board.members.views();
     let known = views.map(|(name, view)| DataCentreDigest {
         data_centre: name.clone(),
@@ -192,7 +207,7 @@
         }
         BulkInput::Answered { from, answer } => on_answer(board, now, from, &answer, out),
         BulkInput::Failed { from } => {
-            board.membership.sync.asked_until = None;
+            board.membership.sync.answer_deadline = None;
             configuration::on_bulk_failed(board, now, from, out);
         }
     }
@@ -223,8 +238,9 @@
     });
 }
 
-/// The data centres that differ, as many as fit, in random order so that the
-/// rest has its turn with the next question.
+/// Members of the data centres whose digests differ, as many as fit.
+///
+/// The data centres are in random order, so that the rest can be in a later answer.
 fn members_answer(board: &mut Blackboard, now: Moment, known: &[DataCentreDigest]) -> BulkAnswer {
     let is_known = |name: &DataCentreName, digest: TableDigest| {
         known
@@ -277,7 +293,7 @@
         }
         Err(_) => {
             board.counters.increment(Counter::BulkMalformed);
-            board.membership.sync.asked_until = None;
+            board.membership.sync.answer_deadline = None;
         }
     }
 }
@@ -289,13 +305,13 @@
     out: &mut Vec<Output>,
 ) {
     let sync = &mut board.membership.sync;
-    sync.asked_until = None;
+    sync.answer_deadline = None;
     sync.differs_since = None;
     if sync.joined_at.is_none() {
         sync.joined_at = Some(now.monotonic);
         let records = data_centres.into_iter().flat_map(|members| members.records);
         sync.pause = JUST_JOINED_PAUSE;
-        sync.next_question = now.monotonic + JUST_JOINED_PAUSE;
+        sync.next_request = now.monotonic + JUST_JOINED_PAUSE;
         merge::on_table(board, now, records.collect(), 0, out);
         return;
     }
@@ -315,13 +331,13 @@
         (true, false) => MIN_PAUSE,
         (false, false) => (sync.pause * 2).clamp(MIN_PAUSE, MAX_PAUSE),
     };
-    sync.next_question = now.monotonic + sync.pause;
+    sync.next_request = now.monotonic + sync.pause;
 }
 
-/// Members of another data centre that a complete answer doesn't name.
+/// Members of another data centre that a complete answer lacks, as records of gone members.
 ///
-/// After a cut that outlasted the memory of gone members, nobody is left who
-/// could say that they went; without this rule they would be known for good.
+/// After a partition that outlasts the retention of gone members, no node is left that knows
+/// that they are gone. Without this rule they would stay in the table for good.
 fn absent_members(
     board: &Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/membership/controller.rs
+++ b/crates/kumquatquay-core/src/membership/controller.rs
@@ -43,7 +43,7 @@
 const INTRODUCTIONS_COUNT: usize = 64;
 
 /// Interval at which old records of gone members are removed.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+const REMOVAL_INTERVAL: Duration = Duration::from_secs(10);
 
 pub(crate) fn on_backend(
     board: &mut Blackboard,
@@ -85,12 +85,12 @@
     bulk_sync::on_tick(board, now, out);
     gossip::on_tick(board, now, out);
     data_centre_relay::on_tick(board, now, out);
-    if now.monotonic >= board.membership.next_forget {
-        board.membership.next_forget = now.monotonic + FORGET_INTERVAL;
+    if now.monotonic >= board.membership.next_removal {
+        board.membership.next_removal = now.monotonic + REMOVAL_INTERVAL;
         board
             .members
-            .forget_gone(now.monotonic, GONE_LIFETIME, GONE_LIMIT_COUNT);
-        data_centre_liveness::forget(board, now, out);
+            .remove_gone(now.monotonic, GONE_LIFETIME, GONE_LIMIT_COUNT);
+        data_centre_liveness::remove_expired(board, now, out);
     }
 }
 
--- a/crates/kumquatquay-core/src/membership/data_centre_liveness.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_liveness.rs
@@ -18,14 +18,14 @@
 /// When this node last received a datagram from each other data centre.
 #[derive(Debug, Default)]
 pub(crate) struct DataCentreLiveness {
-    heard: BTreeMap<DataCentreName, Duration>,
+    last_heard: BTreeMap<DataCentreName, Duration>,
 }
 
 impl DataCentreLiveness {
     /// Whether nothing was received from a data centre for [`SILENCE_LIMIT`].
     pub(super) fn is_expired(&self, now: Duration, data_centre: &DataCentreName) -> bool {
-        let heard = self.heard.get(data_centre);
-        heard.is_some_and(|heard| now >= *heard + SILENCE_LIMIT)
+        let last_heard = self.last_heard.get(data_centre);
+        last_heard.is_some_and(|last_heard| now >= *last_heard + SILENCE_LIMIT)
     }
 }
 
@@ -38,29 +38,29 @@
     record_contact(board, now, &data_centre);
 }
 
-/// Records contact with a data centre, if it is one that [`forget`] watches.
+/// Records contact with a data centre, if [`remove_expired`] tracks it.
 pub(super) fn record_contact(board: &mut Blackboard, now: Moment, data_centre: &DataCentreName) {
-    let heard = &mut board.membership.data_centre_liveness.heard;
-    if let Some(heard) = heard.get_mut(data_centre) {
-        *heard = now.monotonic;
+    let last_heard = &mut board.membership.data_centre_liveness.last_heard;
+    if let Some(last_heard) = last_heard.get_mut(data_centre) {
+        *last_heard = now.monotonic;
     }
 }
 
 /// Removes the members of data centres that have been silent for [`SILENCE_LIMIT`].
-pub(super) fn forget(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+pub(super) fn remove_expired(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let own = &board.settings.data_centre;
     let views = board.members.views();
-    let far = views.filter(|(name, view)| *name != own && !view.live().is_empty());
-    let far: Vec<DataCentreName> = far.map(|(name, _)| name.clone()).collect();
-    for name in far {
-        let heard = &mut board.membership.data_centre_liveness.heard;
-        heard.entry(name.clone()).or_insert(now.monotonic);
+    let remote = views.filter(|(name, view)| *name != own && !view.live().is_empty());
+    let remote: Vec<DataCentreName> = remote.map(|(name, _)| name.clone()).collect();
+    for name in remote {
+        let last_heard = &mut board.membership.data_centre_liveness.last_heard;
+        last_heard.entry(name.clone()).or_insert(now.monotonic);
         if board
             .membership
             .data_centre_liveness
             .is_expired(now.monotonic, &name)
         {
-            board.members.forget_data_centre(&name);
+            board.members.remove_data_centre(&name);
             let detail = format!("received nothing from {name} for {SILENCE_LIMIT:?}");
             out.push(Output::Note(Note::warn("data_centre_forgotten", detail)));
         }
--- a/crates/kumquatquay-core/src/membership/data_centre_view.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_view.rs
@@ -23,15 +23,15 @@
     }
 
     pub(super) fn add(&mut self, control: SocketAddr, digest: TableDigest) {
-        if let Err(place) = self.live.binary_search(&control) {
-            self.live.insert(place, control);
+        if let Err(index) = self.live.binary_search(&control) {
+            self.live.insert(index, control);
             self.digest ^= digest;
         }
     }
 
     pub(super) fn remove(&mut self, control: SocketAddr, digest: TableDigest) {
-        if let Ok(place) = self.live.binary_search(&control) {
-            self.live.remove(place);
+        if let Ok(index) = self.live.binary_search(&control) {
+            self.live.remove(index);
             self.digest ^= digest;
         }
     }
--- a/crates/kumquatquay-core/src/membership/member_table.rs
+++ b/crates/kumquatquay-core/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! The members that this node knows of.
+//! Table of the members that this node knows.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,10 +14,10 @@
 };
 use crate::NodeSettings;
 
-/// The members that this node knows of, itself included.
+/// Table of the members that this node knows, including itself.
 ///
-/// Lookups for a service or a data centre are kept up to date at each change,
-/// so that no call pays for a scan.
+/// The indexes by service and by data centre are updated with each change, so that no call scans
+/// the table.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     members: BTreeMap<SocketAddr, Member>,
@@ -25,14 +25,15 @@
     own_data_centre: DataCentreName,
     views: BTreeMap<DataCentreName, DataCentreView>,
     services: BTreeMap<ServiceName, ServiceMembers>,
-    /// Members of the own data centre that were declared gone by others.
+    /// Members of the own data centre that were declared gone, rather than leaving by
+    /// themselves.
     declared_gone_local: BTreeSet<SocketAddr>,
     live_version: u64,
     gone_count: usize,
     last_changed_at: Duration,
 }
 
-/// One member and what this node adds to its record.
+/// Record of a member, with what this node derives from it.
 #[derive(Debug)]
 struct Member {
     record: MemberRecord,
@@ -49,12 +50,12 @@
     candidates: Vec<Candidate>,
 }
 
-/// How this node came to know a record.
+/// How this node received a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordSource {
-    /// As news: the member does now what it did not do before.
+    /// By gossip, or changed by this node itself: the state of the member is recent.
     Gossip,
-    /// From a whole table: the member may have done so for long.
+    /// From a full table: the member may have been in this state for long.
     Table,
 }
 
@@ -75,18 +76,18 @@
         table
     }
 
-    /// All members, this node and those that are gone included.
+    /// All members, including this node and those that are gone.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// One member.
+    /// Record of one member.
     pub(crate) fn get(&self, control: SocketAddr) -> Option<&MemberRecord> {
         self.members.get(&control).map(|member| &member.record)
     }
 
-    /// Since when a member takes calls, if it does; zero if it did so before this
-    /// node knew it.
+    /// When a member began to take calls, if it does; zero if it took calls before this node
+    /// knew of it.
     pub(crate) fn takes_calls_since(&self, control: SocketAddr) -> Option<Duration> {
         let member = self.members.get(&control)?;
         takes_calls(member.record.state).then_some(member.takes_calls_since)
@@ -97,7 +98,7 @@
         &self.members[&self.own].record
     }
 
-    /// Whether this host takes no new work.
+    /// Whether this host is draining or gone, and so takes no new work.
     pub(crate) fn is_leaving(&self) -> bool {
         self.own().state >= MemberState::Draining
     }
@@ -108,37 +109,37 @@
         members.map_or(&[], |members| &members.candidates)
     }
 
-    /// Grows when a member comes or goes.
+    /// Number that grows when a member joins or leaves.
     pub(super) fn live_version(&self) -> u64 {
         self.live_version
     }
 
-    /// When a member's state, revision or incarnation last changed here.
+    /// When the state, revision or incarnation of any member last changed here.
     pub(crate) fn last_changed_at(&self) -> Duration {
         self.last_changed_at
     }
 
-    /// When one member last changed here.
+    /// When the state, revision or incarnation of one member last changed here.
     pub(super) fn member_changed_at(&self, control: SocketAddr) -> Option<Duration> {
         self.members.get(&control).map(|member| member.changed_at)
     }
 
-    /// Members of the own data centre that were declared gone and may be alive.
+    /// Members of the own data centre that were declared gone, and may still be alive.
     pub(super) fn declared_gone_local(&self) -> &BTreeSet<SocketAddr> {
         &self.declared_gone_local
     }
 
-    /// The own data centre.
+    /// View of the own data centre.
     pub(crate) fn own_view(&self) -> &DataCentreView {
         &self.views[&self.own_data_centre]
     }
 
-    /// All data centres with members that are not gone.
+    /// Views of all data centres that this node has known; views may be empty.
     pub(crate) fn views(&self) -> impl Iterator<Item = (&DataCentreName, &DataCentreView)> {
         self.views.iter()
     }
 
-    /// One data centre.
+    /// View of one data centre.
     pub(crate) fn view(&self, data_centre: &DataCentreName) -> Option<&DataCentreView> {
         self.views.get(data_centre)
     }
@@ -149,19 +150,19 @@
         digests.fold(0, |all, digest| all ^ digest)
     }
 
-    /// Members that are not gone.
+    /// Number of members that are not gone.
     pub(crate) fn live_count(&self) -> usize {
         self.members.len() - self.gone_count
     }
 
-    /// Members that are gone and still remembered.
+    /// Number of members that are gone and still in the table.
     pub(crate) fn gone_count(&self) -> usize {
         self.gone_count
     }
 
-    /// Forgets members that have been gone for long, and the longest gone of
-    /// those above the cap.
-    pub(super) fn forget_gone(&mut self, now: Duration, lifetime: Duration, limit_count: usize) {
+    /// Removes members that have been gone for `lifetime`, and the longest gone of those beyond
+    /// `limit_count`.
+    pub(super) fn remove_gone(&mut self, now: Duration, lifetime: Duration, limit_count: usize) {
         let members = self.members.values();
         let gone = members.filter(|member| member.record.state == MemberState::Gone);
         let mut gone: Vec<_> = gone
@@ -170,15 +171,15 @@
             .collect();
         gone.sort_unstable();
         let excess_count = gone.len().saturating_sub(limit_count);
-        for (place, (changed, control)) in gone.into_iter().enumerate() {
-            if place < excess_count || now >= changed + lifetime {
+        for (index, (changed, control)) in gone.into_iter().enumerate() {
+            if index < excess_count || now >= changed + lifetime {
                 self.remove(control, &mut BTreeSet::new());
             }
         }
     }
 
-    /// Forgets all members of a data centre.
-    pub(super) fn forget_data_centre(&mut self, data_centre: &DataCentreName) {
+    /// Removes all members of a data centre.
+    pub(super) fn remove_data_centre(&mut self, data_centre: &DataCentreName) {
         let members = self.members.values();
         let there = members.filter(|member| member.record.data_centre == *data_centre);
         let there: Vec<SocketAddr> = there.map(|member| member.record.control).collect();
@@ -192,12 +193,12 @@
         }
     }
 
-    /// Takes a record in place of the one that is known.
+    /// Replaces the record of a member.
     pub(crate) fn put(&mut self, now: Duration, record: MemberRecord, source: RecordSource) {
         self.put_all(now, vec![record], source);
     }
 
-    /// [`MemberTable::put`] for many records at the cost of one look at each service.
+    /// [`MemberTable::put`] for many records, with one rebuild per affected service.
     pub(crate) fn put_all(
         &mut self,
         now: Duration,
@@ -295,7 +296,7 @@
         members.candidates = candidates;
     }
 
-    /// Changes this node's own record and numbers the change.
+    /// Changes this node's own record and increments its revision.
     pub(crate) fn change_own(&mut self, now: Duration, change: impl FnOnce(&mut MemberRecord)) {
         let mut record = self.own().clone();
         change(&mut record);
--- a/crates/kumquatquay-core/src/membership/prober.rs
+++ b/crates/kumquatquay-core/src/membership/prober.rs
@@ -1,4 +1,4 @@
-//! Probes of the members of the own data centre.
+//! Direct and indirect probes of the members of the own data centre.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -15,36 +15,36 @@
 use super::{gossip, seed_log, sender, suspicion};
 use crate::{Blackboard, Counter, Moment, Output};
 
-/// How often a member is probed.
+/// Interval at which this node probes a member.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a probed member has to answer before others are asked to probe it.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Members that are asked to probe one that did not answer.
+/// Members that are asked to probe a member that did not answer.
 const INDIRECT_COUNT: usize = 3;
 
-/// How often a node that is thought to be gone is probed.
+/// Interval of the probes of members declared gone and of unknown seeds.
 const RECONNECT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Members whose last result is remembered.
+/// Members whose last probe result is kept.
 const RESULTS_LIMIT_COUNT: usize = 8;
 
-/// How long a result counts; a member that died earlier is no part of a silence
-/// that begins now.
+/// How long a result counts: a member that died earlier is not part of a mass silence that
+/// begins now.
 const RESULT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// The fewest silent members that speak for a fault of the own network.
+/// Fewest silent members that indicate a fault of this node's own network.
 const SILENT_MIN_COUNT: usize = 2;
 
-/// Probes for others that are under way; more are not taken on.
+/// Probes under way for other nodes at most; further requests are ignored.
 const RELAYED_PROBES_LIMIT_COUNT: usize = 64;
 
-/// During a mass silence only every so-manieth probe goes to a silent member,
-/// so that the others are still watched.
+/// During a mass silence, only every fourth probe may go to a suspected member, so that the
+/// others are still probed.
 const SILENT_PROBE_INTERVAL_COUNT: u32 = 4;
 
-/// Probes under way.
+/// Probes under way and results of the last ones.
 #[derive(Debug, Default)]
 pub(crate) struct Prober {
     /// Members still to be probed before the next shuffle.
@@ -57,7 +57,7 @@
     relayed_probes: BTreeMap<Sequence, RelayedProbe>,
 }
 
-/// The probe that waits for its answer.
+/// The current probe by this node.
 #[derive(Debug)]
 struct Probe {
     id: Sequence,
@@ -78,18 +78,18 @@
 /// A probe on behalf of another node.
 #[derive(Debug)]
 struct RelayedProbe {
-    asker: SocketAddr,
-    asker_probe: Sequence,
-    until: Duration,
+    requester: SocketAddr,
+    requester_probe: Sequence,
+    expires_at: Duration,
 }
 
 impl Prober {
-    /// Whether more than half of the members probed last were silent, so that
-    /// this node's own network is the likely cause.
+    /// Whether more than half of the members probed last were silent, so that this node's own
+    /// network is the likely cause.
     ///
-    /// A third, which is the measure for what all nodes find together, is met by
-    /// chance among so few when one rack dies. One member that is dead is probed
-    /// again and again in a small data centre, so members are counted, not probes.
+    /// The threshold of a third, which applies to the findings of all nodes, would be reached by
+    /// chance among so few members when one rack fails. Members are counted, not probes, since a
+    /// small data centre probes one dead member repeatedly.
     pub(super) fn suspects_own_network(&self, now: Duration) -> bool {
         let results = self.results.iter();
         let recent = results.filter(|result| now < result.ended_at + RESULT_LIFETIME);
@@ -123,15 +123,15 @@
     start_probe(board, now, out);
     reconnect(board, now, out);
     let relayed_probes = &mut board.membership.prober.relayed_probes;
-    relayed_probes.retain(|_, relay| relay.until > now.monotonic);
+    relayed_probes.retain(|_, relay| relay.expires_at > now.monotonic);
 }
 
-/// Forgets the probe under way: its answer may have come unread.
+/// Drops the current probe, whose answer may have arrived but not been read yet.
 pub(super) fn cancel_probe(board: &mut Blackboard) {
     board.membership.prober.probe = None;
 }
 
-/// Spreads the probes of nodes that start together.
+/// Random delay of the first probe, to spread the probes of nodes that start together.
 fn first_wait(board: &mut Blackboard) -> Duration {
     PROBE_INTERVAL.mul_f64(board.random.random())
 }
@@ -163,13 +163,14 @@
     sender::send_local(board, now, target, body, out);
 }
 
-/// A name that no recorded answer fits.
+/// A random identifier, so that a replayed answer doesn't match.
 fn probe_id(board: &mut Blackboard) -> Sequence {
     Sequence::from(board.random.random::<u32>())
 }
 
-/// The next member in a shuffled round, so that each one is probed within two
-/// rounds and no two nodes keep the same order.
+/// The next member in a shuffled round.
+///
+/// Each member is probed within two rounds, and no two nodes keep the same order.
 fn next_target(board: &mut Blackboard) -> Option<SocketAddr> {
     board.membership.prober.probes_count += 1;
     let probes_count = board.membership.prober.probes_count;
@@ -200,8 +201,8 @@
         && !(skips_suspects && record.is_suspect)
 }
 
-/// Asks others to probe a member that did not answer this node in time: the way
-/// between the two may be the only thing that is broken.
+/// Asks others to probe a member that did not answer in time, since only the network path from
+/// this node to it may be broken.
 fn send_indirect_pings(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let Some(probe) = &mut board.membership.prober.probe else {
         return;
@@ -235,8 +236,10 @@
     }
 }
 
-/// Probes a node that is thought to be gone, or a seed that is not known: after
-/// a cut in which each side declared the other gone, nobody else would.
+/// Probes a member that was declared gone, or an unknown seed.
+///
+/// After a partition in which each side declared the other gone, no other probe would reconnect
+/// them.
 fn reconnect(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     if now.monotonic < board.membership.prober.next_reconnect {
         return;
@@ -256,8 +259,8 @@
 pub(super) fn on_indirect_ping(
     board: &mut Blackboard,
     now: Moment,
-    asker: SocketAddr,
-    asker_probe: Sequence,
+    requester: SocketAddr,
+    requester_probe: Sequence,
     target: SocketAddr,
     out: &mut Vec<Output>,
 ) {
@@ -266,9 +269,9 @@
     }
     let id = probe_id(board);
     let relay = RelayedProbe {
-        asker,
-        asker_probe,
-        until: now.monotonic + PROBE_INTERVAL,
+        requester,
+        requester_probe,
+        expires_at: now.monotonic + PROBE_INTERVAL,
     };
     board.membership.prober.relayed_probes.insert(id, relay);
     ping(board, now, target, id, out);
@@ -277,9 +280,9 @@
 pub(super) fn on_ack(board: &mut Blackboard, now: Moment, probe: Sequence, out: &mut Vec<Output>) {
     if let Some(relay) = board.membership.prober.relayed_probes.remove(&probe) {
         let body = ControlBody::Ack {
-            probe: relay.asker_probe,
+            probe: relay.requester_probe,
         };
-        sender::send_local(board, now, relay.asker, body, out);
+        sender::send_local(board, now, relay.requester, body, out);
         return;
     }
     if let Some(own) = &mut board.membership.prober.probe
--- a/crates/kumquatquay-core/src/membership/seed_log.rs
+++ b/crates/kumquatquay-core/src/membership/seed_log.rs
@@ -1,4 +1,4 @@
-//! Seeds in the platform's log.
+//! Seeds in a stream of the platform's log.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -14,39 +14,40 @@
     routed::{EraChange, EraTracker},
 };
 
-/// Stream that holds control addresses of members.
+/// Stream of the control addresses of members.
 const STREAM: &str = "seeds";
 
-/// Purpose of the authentication code of its records.
+/// Key purpose for the authentication code of records in that stream.
 const PURPOSE: &str = "seed";
 
-/// How often each of the two members that write for their data centre does so.
-/// With 20 data centres that is one append in 15 s, of the several hundred a
-/// second that the log takes.
+/// Interval at which each of the two writing members of a data centre appends its address.
+///
+/// With 20 data centres that is one append every 15 s, while the log handles several hundred per
+/// second.
 const APPEND_INTERVAL: Duration = Duration::from_secs(600);
 
-/// How long a node is a member before it writes.
+/// Delay after the start before a node appends its address for the first time.
 const FIRST_APPEND: Duration = Duration::from_secs(30);
 
-/// How long a node tries the seeds of its settings before it asks the log, and
-/// how often it asks.
+/// How long a node tries the seeds of its settings before it reads the log, and the interval of
+/// reads after that.
 const READ_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The newest records that are read.
+/// Newest records of the stream that are read.
 const TAIL_COUNT: u64 = 64;
 
-/// Seeds that are remembered; the newest ones are the likeliest to live.
+/// Seeds that are kept: the newest, which are the most likely to be alive.
 const SEEDS_LIMIT_COUNT: usize = 32;
 
-/// Seeds in the platform's log.
+/// Seeds found in the platform's log, and the reads and appends under way.
 ///
-/// Hosts are replaced at any time, and the settings of a new one may name only
-/// hosts that are gone. It would then be alone for good: nobody knows of it.
+/// Hosts are replaced at any time, and the settings of a new one may name only hosts that are
+/// gone. Without the log it would stay alone, since no other node knows of it.
 #[derive(Debug, Default)]
 pub(crate) struct SeedLog {
     seeds: VecDeque<SocketAddr>,
     read: Option<ReadId>,
-    /// The first offset not read yet, once the end of the stream is known.
+    /// First offset that has not been read; none until the end of the stream is known.
     from: Option<LogOffset>,
     next_read: Option<Duration>,
     append: Option<AppendId>,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Whether the log answers a question of this module.
+/// Whether an input from the log answers a read or an append of this module.
 pub(crate) fn owns(board: &Blackboard, input: &LogInput) -> bool {
     let seeds = &board.membership.seed_log;
     match input {
@@ -93,7 +94,7 @@
         } => {
             seeds.read = None;
             if let EraChange::Restored { .. } = seeds.eras.observe(era) {
-                // Offsets are given out again; seeds that are lost are appended in turn.
+                // Offsets are assigned again. Lost seeds are replaced by the periodic appends.
                 seeds.from = None;
             }
             on_records(seeds, &key, &records, next_offset);
@@ -102,14 +103,14 @@
             }
         }
         LogInput::ReadFailed { .. } => seeds.read = None,
-        // A lost or doubled record does no harm: the next one is on its way.
+        // A lost or duplicate record does no harm: another append follows.
         LogInput::Appended { .. }
         | LogInput::AppendRefused { .. }
         | LogInput::AppendOutcomeUnknown { .. } => seeds.append = None,
     }
 }
 
-/// Takes in records; the first answer only shows where the stream ends.
+/// Adds the seeds of records; the first answer is only used to find the end of the stream.
 fn on_records(seeds: &mut SeedLog, key: &MeshKey, records: &[LogRecord], next_offset: LogOffset) {
     let Some(from) = seeds.from else {
         seeds.from = Some(next_offset.saturating_sub(TAIL_COUNT));
@@ -129,8 +130,9 @@
     append(board, now, out);
 }
 
-/// Reads while this node knows nobody else; one that was given no seeds is the
-/// first.
+/// Reads the log while this node knows no other live member.
+///
+/// A node without seeds in its settings is the first of the mesh and doesn't read.
 fn read(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     if board.settings.seeds.is_empty() || board.members.live_count() > 1 {
         return;
@@ -152,7 +154,7 @@
     });
 }
 
-/// Writes this node's address, if it is one of those that do.
+/// Appends this node's address, if it is a relay node for the stream.
 fn append(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let seeds = &mut board.membership.seed_log;
     let due = *seeds
@@ -175,7 +177,7 @@
     });
 }
 
-/// Seeds of the settings and of the log, this node not included.
+/// Seeds of the settings and of the log, without this node.
 pub(super) fn all_seeds(board: &Blackboard) -> BTreeSet<SocketAddr> {
     let given = board.settings.seeds.iter().copied();
     let found = board.membership.seed_log.seeds();
--- a/crates/kumquatquay-core/src/membership/sender.rs
+++ b/crates/kumquatquay-core/src/membership/sender.rs
@@ -1,4 +1,4 @@
-//! How datagrams are put together and sent.
+//! Assembles and sends datagrams.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,23 +7,22 @@
 use super::byte_budget::ByteBudget;
 use crate::{Blackboard, Moment, Output, configuration};
 
-/// How long a change of this node's own record leads every datagram.
+/// How long a change of this node's own record is sent before other records in every datagram.
 ///
-/// A refutation must be in the answer to the very probe that carried the doubt;
-/// in the queue it could wait behind the news of a mass failure.
+/// A refutation must be in the answer to the probe that brought the suspicion; in the queue it
+/// could wait behind the records of a mass failure.
 const OWN_CHANGE_PRIORITY_TIME: Duration = Duration::from_secs(5);
 
-/// Bytes of a datagram without rumours, at most.
+/// Largest size of a datagram without its rumours.
 const FRAME_BYTES: usize = 150;
 
-/// Rumours of members that are looked at for one datagram; more don't fit.
+/// Queued members considered for one datagram; more don't fit.
 const RUMOURS_LIMIT_COUNT: usize = 80;
 
-/// Times that each node tells a piece of news or hears it again, for each
-/// doubling of the members.
+/// Transmissions of a rumour for each doubling of the members, see [`transmit_limit`].
 const TRANSMITS_PER_DOUBLING: u32 = 3;
 
-/// Sends a message to a member of the own data centre, with news on board.
+/// Sends a message to a member of the own data centre, with rumours about members piggybacked.
 pub(super) fn send_local(
     board: &mut Blackboard,
     now: Moment,
@@ -34,7 +33,7 @@
     send_local_with(board, now, to, body, &[], out);
 }
 
-/// [`send_near`], with other rumours behind the news of members, as many as fit.
+/// [`send_local`], with as many other rumours after those about members as fit.
 pub(super) fn send_local_with(
     board: &mut Blackboard,
     now: Moment,
@@ -54,8 +53,8 @@
     push_datagram(board, to, body, batch.rumours, out);
 }
 
-/// Sends news of members to another data centre, as many as fit; says how many
-/// did.
+/// Sends a message to a node of any data centre, with as many of the given rumours about members
+/// as fit; returns how many did.
 pub(super) fn send_remote(
     board: &mut Blackboard,
     now: Moment,
@@ -71,7 +70,7 @@
     count
 }
 
-/// Sends rumours of other concerns at once, as many as fit.
+/// Sends as many rumours that are not about members as fit, at once.
 pub(crate) fn send_other_rumours(
     board: &mut Blackboard,
     now: Moment,
@@ -86,7 +85,8 @@
     }
 }
 
-/// What is told of a member: its record, or in short that it does not answer.
+/// The rumour about a member: its record, or if it is suspected only its status, which is
+/// shorter.
 pub(super) fn rumour_of(record: &MemberRecord) -> Rumour {
     if !record.is_suspect {
         return Rumour::Member(record.clone());
@@ -99,8 +99,10 @@
     })
 }
 
-/// Puts what the receiver must hear first: the version in force, doubts about
-/// itself, and this node's own change.
+/// Adds what the receiver must learn first.
+///
+/// This is the configuration version, that the receiver itself is suspected or gone, and a
+/// recent change of this node's own record. The byte budgets don't apply to it.
 fn add_priority_rumours(board: &Blackboard, now: Moment, to: SocketAddr, batch: &mut RumourBatch) {
     if let Some(version) = configuration::version_to_gossip(board) {
         batch.add(Rumour::Configuration(version));
@@ -116,7 +118,7 @@
     }
 }
 
-/// News of members that are queued and fit; says of whom.
+/// Adds the rumours about queued members that fit; returns these members.
 fn add_queued_rumours(
     board: &mut Blackboard,
     now: Moment,
@@ -137,8 +139,10 @@
     members.into_iter().take(count).collect()
 }
 
-/// Times that a piece of news is told by this node or to it: enough for all to hear it with
-/// high probability, also when a tenth of the datagrams is lost.
+/// Transmissions of a rumour by this node or to it after which this node stops sending it.
+///
+/// They suffice for all members to receive it with high probability, even if a tenth of the
+/// datagrams is lost.
 pub(super) fn transmit_limit(board: &Blackboard) -> u32 {
     let members_count = board.members.own_view().live().len();
     TRANSMITS_PER_DOUBLING * (members_count + 1).next_power_of_two().ilog2()
@@ -162,7 +166,7 @@
     out.push(Output::Send { to, datagram });
 }
 
-/// Rumours of one datagram and the bytes that they take.
+/// Rumours of one datagram, and its size so far.
 struct RumourBatch {
     rumours: Vec<Rumour>,
     bytes: usize,
@@ -176,8 +180,7 @@
         }
     }
 
-    /// Adds rumours in their order, as far as they and the budget reach; says
-    /// how many.
+    /// Adds rumours in order while they fit and the budget is not exhausted; returns how many.
     fn add_within_budget(
         &mut self,
         rumours: &[Rumour],
@@ -197,7 +200,7 @@
         count
     }
 
-    /// Adds a rumour if it fits.
+    /// Adds a rumour if it fits; returns whether it did.
     fn add(&mut self, rumour: Rumour) -> bool {
         let bytes = self.bytes + rumour.size_bytes();
         if bytes > Datagram::LIMIT_BYTES {
--- a/crates/kumquatquay-core/src/membership/state.rs
+++ b/crates/kumquatquay-core/src/membership/state.rs
@@ -43,7 +43,7 @@
     /// Gossip rounds within the data centre, and transmissions of rumours not about members.
     pub(super) gossip_rounds: GossipRounds,
     /// When members that have been gone for long are next removed from the table.
-    pub(super) next_forget: Duration,
+    pub(super) next_removal: Duration,
     /// Earliest time of the next reply to a sender whose incarnation is too low.
     pub(super) next_correction: Duration,
     /// Limit on rumours about members.
@@ -76,7 +76,7 @@
             own_changed_at: Duration::ZERO,
             gossip_queue: GossipQueue::default(),
             gossip_rounds: GossipRounds::default(),
-            next_forget: Duration::ZERO,
+            next_removal: Duration::ZERO,
             next_correction: Duration::ZERO,
             member_budget: ByteBudget::new(MEMBER_RATE_BYTES_PER_S, MEMBER_BURST_BYTES),
             other_budget: ByteBudget::new(OTHER_RATE_BYTES_PER_S, OTHER_BURST_BYTES),
--- a/crates/kumquatquay-core/src/membership/suspicion.rs
+++ b/crates/kumquatquay-core/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Members that do not answer, and when they are declared gone.
+//! Suspected members, and when they are declared gone.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,38 +11,40 @@
 use super::merge;
 use crate::{Blackboard, Counter, Moment, Note, Output};
 
-/// How long a suspect has to refute before it is declared gone.
+/// How long a suspected member has to refute before it is declared gone.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long a death counts towards a mass silence.
+/// How long a member that was declared gone counts towards a mass silence.
 const DEATHS_WINDOW: Duration = Duration::from_secs(10);
 
-/// How often timers of suspects are looked at.
+/// Interval at which the timers of suspected members are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long members must answer again before a mass silence is over.
+/// How long the criterion of a mass silence must be unmet before the hold ends.
 const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The longest that the view is held; then the silent members really are gone.
+/// Longest time of a hold; after it the silent members are taken to be gone.
 const HOLD_LIMIT: Duration = Duration::from_secs(15 * 60);
 
-/// The fewest members whose silence is a mass silence.
+/// Fewest silent members that count as a mass silence.
 const MASS_SILENCE_MIN_COUNT: usize = 2;
 
-/// Members that do not answer.
+/// Suspected members of the own data centre, and the hold during a mass silence.
+///
+/// During a hold no member is declared gone.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
-    /// Since when each suspect of the own data centre is one.
+    /// Suspected members, each with the start of its suspicion timer.
     since: BTreeMap<SocketAddr, Duration>,
-    /// When members were declared gone lately.
+    /// When members of the own data centre were declared gone, within [`DEATHS_WINDOW`].
     deaths: VecDeque<Duration>,
     next_check: Duration,
     hold: Option<Hold>,
-    /// The silence outlasted [`HOLD_LIMIT`] and still goes on.
+    /// Whether the mass silence has outlasted [`HOLD_LIMIT`] and still lasts.
     is_hold_exhausted: bool,
 }
 
-/// A mass silence that lasts.
+/// A hold: the time in which no member is declared gone because of a mass silence.
 #[derive(Debug)]
 struct Hold {
     started_at: Duration,
@@ -50,7 +52,7 @@
 }
 
 impl Suspicions {
-    /// Whether the view is held because many members went silent at once.
+    /// Whether no member is declared gone because many went silent at once.
     pub(crate) fn is_holding(&self) -> bool {
         self.hold.is_some()
     }
@@ -68,11 +70,11 @@
     }
 
     pub(super) fn record_death(&mut self, now: Duration) {
-        self.forget_deaths(now);
+        self.remove_old_deaths(now);
         self.deaths.push_back(now);
     }
 
-    fn forget_deaths(&mut self, now: Duration) {
+    fn remove_old_deaths(&mut self, now: Duration) {
         while let Some(death) = self.deaths.front()
             && *death + DEATHS_WINDOW < now
         {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Gives every suspect its whole time again.
+    /// Restarts the timers of all suspected members.
     pub(super) fn restart_timers(&mut self, now: Duration) {
         for since in self.since.values_mut() {
             *since = now;
@@ -88,17 +90,16 @@
     }
 }
 
-/// Whether so many silent members out of all others are more than chance.
+/// Whether the silent members are too many of all others to have failed independently.
 ///
-/// Servers die one by one, or a rack of them. When more than a third is silent
-/// at once, the network is the likely cause, and perhaps this node's own.
-/// Declaring them gone would leave both sides of a cut with a part of the view
-/// and the rest of the load.
+/// Servers fail singly or by rack. When more than a third is silent at once, the likely cause is
+/// the network, perhaps that of this node. If they were declared gone, each side of a partition
+/// would send the load to the members that it still sees, which are only a part.
 fn is_mass_silence(silent_count: usize, others_count: usize) -> bool {
     silent_count >= MASS_SILENCE_MIN_COUNT && silent_count * 3 > others_count
 }
 
-/// Doubts that a member is alive, since a probe of this node failed.
+/// Suspects a member because a probe by this node failed.
 pub(super) fn suspect(
     board: &mut Blackboard,
     now: Moment,
@@ -139,7 +140,12 @@
         None => {}
         Some(hold) if now.monotonic >= hold.started_at + HOLD_LIMIT => {
             suspicions.is_hold_exhausted = true;
-            end_hold(board, now, "the silence has lasted too long for a cut", out);
+            end_hold(
+                board,
+                now,
+                "the silence has lasted too long for a partition",
+                out,
+            );
         }
         Some(hold) if is_mass_silence => hold.recovering_since = None,
         Some(hold) => {
@@ -153,7 +159,7 @@
 
 fn is_mass_silence_now(board: &mut Blackboard, now: Moment) -> bool {
     let suspicions = &mut board.membership.suspicions;
-    suspicions.forget_deaths(now.monotonic);
+    suspicions.remove_old_deaths(now.monotonic);
     let silent_count = suspicions.since.len() + suspicions.deaths.len();
     let live_count = board.members.own_view().live().len();
     let others_count = live_count.saturating_sub(1) + suspicions.deaths.len();
@@ -168,11 +174,12 @@
         recovering_since: None,
     });
     let count = board.membership.suspicions.len();
-    let detail = format!("{count} members went silent at once: held as a fault of the network");
+    let detail =
+        format!("{count} members suspected at once; network fault assumed, none declared gone");
     out.push(Output::Note(Note::warn("mass_silence", detail)));
 }
 
-/// Ends a hold; who is still silent gets a whole suspicion timeout again.
+/// Ends a hold; members that are still suspected get the full suspicion timeout again.
 fn end_hold(board: &mut Blackboard, now: Moment, why: &str, out: &mut Vec<Output>) {
     board.membership.suspicions.hold = None;
     board.membership.suspicions.restart_timers(now.monotonic);
@@ -191,7 +198,7 @@
         };
         let mut record = record.clone();
         record.state = MemberState::Gone;
-        let detail = format!("{control} did not answer and did not refute");
+        let detail = format!("{control} did not answer a probe or refute the suspicion");
         out.push(Output::Note(Note::info("member_gone", detail)));
         board.counters.increment(Counter::MembersDeclaredGone);
         merge::on_record(board, now, record, out);
