--- a/crates/kumquatquay-wire/src/routed/configuration.rs
+++ b/crates/kumquatquay-wire/src/routed/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration of routes, as operators confirmed it.
+//! The configuration of routes, as confirmed by operators.
 
 use std::time::Duration;
 
@@ -7,119 +7,121 @@
 use super::WorkspaceSettings;
 use crate::ServiceName;
 
-/// Number of a configuration; a node never goes back to a lower one.
+/// Version number of a route configuration; a node never goes back to a lower one.
 pub type RouteVersion = u64;
 
-/// Number of a life of the store: one higher each time that it comes back from an older copy,
-/// without what was written since.
+/// Era of the store: incremented each time the store is restored from a backup, which lacks the
+/// records written after the backup was taken.
 pub type StoreEra = u64;
 
-/// How far a node follows the configuration; nodes tell each other with each call.
+/// How current the configuration of a node is; nodes exchange it with each call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename = "FollowState")]
 pub struct SyncState {
-    /// Configuration in force at the node; 0 without one.
+    /// Version of the configuration in force at the node; 0 if there is none.
     pub version: RouteVersion,
-    /// The highest era of the store that the node knows of; `None` if the store tells none.
+    /// Highest era of the store that the node knows of; `None` if the store reports no era.
     pub store_era: Option<StoreEra>,
-    /// Answers of the store that the node knows of in that era, its own and those of others.
+    /// Number of answers of the store in that era that the node knows of, to itself or to other
+    /// nodes.
     pub store_answers_count: u64,
-    /// How long ago that configuration was the newest for sure, in milliseconds; `None` if that
-    /// isn't known. It counts only for who asked, from the moment of the question.
+    /// Age of the freshness proof, in milliseconds: how long ago that configuration was provably
+    /// the newest. `None` if there is no proof. It is valid only in the answer to a question, and
+    /// relative to the time at which the question was sent.
     pub proof_age_ms: Option<u32>,
-    /// The most nodes that it has known at the same time, itself included.
+    /// Largest number of nodes that it has known at the same time, including itself.
     pub nodes_count: u32,
 }
 
-/// Rank of a route's calls: 0 is refused last.
+/// Priority of the calls of a route; priority 0 is refused last.
 pub type Priority = u32;
 
-/// Everything that operators set for calls on routes.
+/// All settings of operators for calls on routes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteConfiguration {
-    /// Which configuration this is.
+    /// Version of this configuration.
     pub version: RouteVersion,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// Routes by the host that callers name.
+    /// Routes, grouped by the host name that callers use.
     pub hosts: Vec<HostRoutes>,
-    /// What holds for all backend servers of a service.
+    /// Settings of each service.
     pub services: Vec<ServiceSettings>,
-    /// Those that may call routes that aren't public. Where operators set none at all, not even
-    /// an empty list, no route asks for a key.
+    /// Workspaces that may call routes that aren't public. If it is `None`, no route requires a
+    /// key; with an empty list, routes do.
     pub workspaces: Option<Vec<WorkspaceSettings>>,
 }
 
-/// What callers may send, and how slowly.
+/// Limits on the size and the timing of what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub head_limit_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body_limit_bytes: usize,
-    /// Time that a head may take to arrive.
+    /// Time within which a request head must have arrived.
     pub head_timeout: Duration,
-    /// Time for which a connection may stay without a request.
+    /// Time for which a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
 /// The routes of one host name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRoutes {
-    /// As callers write it, without a port.
+    /// Host name as callers write it, without a port.
     pub host: String,
-    /// Its routes; the longest prefix that begins a path counts.
+    /// Its routes; the longest matching path prefix applies.
     pub routes: Vec<RouteSettings>,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteSettings {
-    /// As operators call it.
+    /// Name given by operators.
     pub name: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub path_prefix: String,
-    /// Whether its calls may run more than once.
+    /// Whether a call may run more than once.
     pub repeat: Repeat,
-    /// Time within which an answer is worth its full value to the caller.
+    /// Target latency; an answer within this time has its full value for the caller.
     pub target_latency: Duration,
-    /// Rank of its calls.
+    /// Priority of its calls.
     pub priority: Priority,
-    /// Whether its calls need no key.
+    /// Whether its calls are accepted without a key.
     pub is_public: bool,
-    /// Where its calls go, by weight.
+    /// Services that receive its calls, with their weights.
     pub destinations: Vec<Destination>,
-    /// The longest time that a caller is kept waiting.
+    /// Longest time that a caller waits for an answer.
     pub timeout: Duration,
-    /// Backend servers to which one call may be sent, at most.
+    /// Maximum number of backend servers to which one call is sent.
     pub attempts_count: u32,
 }
 
 /// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Running it again changes nothing.
+    /// Running it again has no further effect.
     Idempotent,
-    /// It runs once at most for each call.
+    /// Each call runs at most once.
     AtMostOnce,
 }
 
-/// A service that gets a share of a route's calls.
+/// A service that receives a share of the calls of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other destinations.
+    /// Weight relative to the other destinations.
     pub weight: u32,
 }
 
-/// What holds for all backend servers of a service.
+/// Settings that apply to all backend servers of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSettings {
-    /// The service.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path at which a backend server tells whether it is healthy.
+    /// Path of the health check of a backend server.
     pub health_path: String,
-    /// Connections that one backend server takes, from all nodes together.
+    /// Maximum number of connections to one backend server, from all nodes together.
     pub connections_limit_count: usize,
 }
--- a/crates/kumquatquay-wire/src/routed/fields.rs
+++ b/crates/kumquatquay-wire/src/routed/fields.rs
@@ -4,19 +4,19 @@
 
 use crate::WireError;
 
-/// Bytes of the two lengths that begin a field.
+/// Size of the two lengths at the start of a field, in bytes.
 const LENGTHS_BYTES: usize = 8;
 
-/// Header fields, one behind the other in one block, which goes over links as it is.
+/// Header fields, stored one after the other in a block that is sent over links unchanged.
 ///
-/// A field is the length of its name, that of its value, both as four bytes, little endian, then
-/// the name and the value:
+/// A field consists of the length of its name and the length of its value, both as four bytes,
+/// little endian, followed by the name and the value:
 ///
 /// ```text
 /// name length: u32 | value length: u32 | name | value
 /// ```
 ///
-/// A message has a dozen fields; one block takes one allocation for all of them.
+/// A message has about a dozen fields; the block needs one allocation for all of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields {
     block: Bytes,
@@ -25,16 +25,17 @@
 /// One header field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field<'a> {
-    /// Its name.
+    /// Name of the field.
     pub name: &'a [u8],
-    /// Its value, a part of the block.
+    /// Value of the field, a slice of the block.
     pub value: Bytes,
 }
 
 impl Fields {
-    /// Fields of these names and values, in this order.
+    /// Creates fields from names and values, in this order.
     ///
-    /// They are gone through twice, so that the block has no spare bytes.
+    /// The iterator is created twice: the first pass sums the lengths, so that the block is
+    /// allocated with its exact size.
     ///
     /// # Examples
     ///
@@ -63,64 +64,66 @@
         }
     }
 
-    /// Fields in a block that came over a link.
+    /// Reads the fields of a block that was received over a link.
     ///
     /// # Errors
     ///
-    /// [`WireError::Malformed`] if the block doesn't end with the end of a field.
+    /// [`WireError::Malformed`] if the last field is incomplete.
     pub fn from_bytes(block: Bytes) -> Result<Self, WireError> {
-        let mut place = 0;
-        while place < block.len() {
-            place = Place::at(&block, place).ok_or(WireError::Malformed)?.end;
+        let mut offset = 0;
+        while offset < block.len() {
+            offset = FieldOffsets::at(&block, offset)
+                .ok_or(WireError::Malformed)?
+                .end;
         }
         Ok(Self { block })
     }
 
-    /// The block.
+    /// Returns the encoded block.
     pub fn as_bytes(&self) -> &[u8] {
         &self.block
     }
 
-    /// The fields, in their order.
+    /// Iterates over the fields in order.
     pub fn iter(&self) -> impl Iterator<Item = Field<'_>> {
         let mut next = 0;
         std::iter::from_fn(move || {
-            let place = Place::at(&self.block, next)?;
-            next = place.end;
+            let offsets = FieldOffsets::at(&self.block, next)?;
+            next = offsets.end;
             Some(Field {
-                name: &self.block[place.name..place.value],
-                value: self.block.slice(place.value..place.end),
+                name: &self.block[offsets.name..offsets.value],
+                value: self.block.slice(offsets.value..offsets.end),
             })
         })
     }
 
-    /// How many there are.
+    /// Returns the number of fields.
     pub fn count(&self) -> usize {
-        let first = Place::at(&self.block, 0);
-        std::iter::successors(first, |place| Place::at(&self.block, place.end)).count()
+        let first = FieldOffsets::at(&self.block, 0);
+        std::iter::successors(first, |offsets| FieldOffsets::at(&self.block, offsets.end)).count()
     }
 }
 
-/// Where a field lies in its block.
-struct Place {
+/// Offsets of a field in its block.
+struct FieldOffsets {
     name: usize,
     value: usize,
     end: usize,
 }
 
-impl Place {
-    /// The field that begins here, if it ends within the block.
+impl FieldOffsets {
+    /// Locates the field that starts at `start`. Returns `None` if it exceeds the block.
     fn at(block: &[u8], start: usize) -> Option<Self> {
         let name = start.checked_add(LENGTHS_BYTES)?;
         let lengths = block.get(start..name)?;
         let (name_length, value_length) = lengths.split_at(LENGTHS_BYTES / 2);
-        let value = name.checked_add(length_of(name_length))?;
-        let end = value.checked_add(length_of(value_length))?;
+        let value = name.checked_add(parse_length(name_length))?;
+        let end = value.checked_add(parse_length(value_length))?;
         (end <= block.len()).then_some(Self { name, value, end })
     }
 }
 
-fn length_of(bytes: &[u8]) -> usize {
+fn parse_length(bytes: &[u8]) -> usize {
     let bytes = bytes.try_into().expect("a slice of four bytes");
     u32::from_le_bytes(bytes) as usize
 }
--- a/crates/kumquatquay-wire/src/routed/frame.rs
+++ b/crates/kumquatquay-wire/src/routed/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a link between two nodes.
+//! Frames on the link between two nodes.
 
 use std::{borrow::Cow, net::SocketAddr};
 
@@ -12,166 +12,168 @@
 };
 use crate::{BackendLife, WireError};
 
-/// Names a call on one link, in the direction from the node that sent it.
+/// Number of a call on a link; each of the two nodes numbers the calls that it sends.
 pub type CallNumber = u64;
 
-/// Bytes of the three lengths that begin a frame.
+/// Size of the three lengths at the start of a frame, in bytes.
 const LENGTHS_BYTES: usize = 12;
 
-/// The longest frame, in bytes; a body may take nearly all of it.
+/// Maximum size of a frame, in bytes; a body may take nearly all of it.
 const FRAME_LIMIT_BYTES: usize = 80 * 1024 * 1024;
 
-/// The longest body of a frame, in bytes; what is left is for its head and its fields.
+/// Maximum size of the body of a frame, in bytes; the rest is left for its head and fields.
 pub const BODY_LIMIT_BYTES: usize = FRAME_LIMIT_BYTES - 1024 * 1024;
 
-/// What a frame says; header fields and a body may follow it.
+/// Head of a frame; header fields and a body may follow it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FrameHead<'a> {
-    /// A call; its header fields and its request body follow.
+    /// A call; its header fields and request body follow.
     #[serde(borrow)]
     Call(CallHead<'a>),
-    /// The caller has left or the time is over: the answer is not wanted.
+    /// Cancels a call: the caller has disconnected or the deadline has passed, so the answer
+    /// isn't needed any more.
     Cancel {
-        /// The call.
+        /// Number of the call.
         number: CallNumber,
     },
-    /// There is room for a call that may run once at most, which is handed over as soon
-    /// as its sender commits to it.
+    /// Grants a slot to a call that may run at most once. The call is forwarded to the backend
+    /// server as soon as its sender commits to it.
     Granted {
-        /// The call.
+        /// Number of the call.
         number: CallNumber,
     },
-    /// The call may be handed over now; before this it has not run.
+    /// Commits to a granted call, so that it may be forwarded now; before this it has not run.
     Commit {
-        /// The call.
+        /// Number of the call.
         number: CallNumber,
     },
-    /// The answer to a call; its header fields and its response body follow.
+    /// The answer to a call; its header fields and response body follow.
     Answer(AnswerHead),
-    /// Asks for a [`FrameHead::Pong`], which shows that the link still works.
+    /// Requests a [`FrameHead::Pong`], which shows that the link still works.
     Ping {
-        /// How far the sender follows the configuration.
+        /// How current the configuration of the sender is.
         #[serde(rename = "followed")]
         sync_state: SyncState,
-        /// When it was asked, by the sender's clock, in milliseconds.
+        /// Time of the ping, by the clock of its sender, in milliseconds.
         asked_ms: u64,
     },
     /// Answers a [`FrameHead::Ping`].
     Pong {
-        /// How far the sender follows the configuration.
+        /// How current the configuration of the sender is.
         #[serde(rename = "followed")]
         sync_state: SyncState,
-        /// What the question said.
+        /// Repeats the time of the request.
         asked_ms: u64,
     },
-    /// A keeper of quotas asks for a loan of what the receiver owns.
+    /// A borrower requests a loan from the quotas that the receiver owns.
     #[serde(rename = "LoanAsk")]
     LoanRequest {
-        /// Control address of the keeper.
+        /// Control address of the borrower.
         borrower: SocketAddr,
-        /// What it keeps.
+        /// Slices for which it is the borrower.
         wanted: SliceSets,
-        /// When it was asked, by the keeper's clock, in milliseconds.
+        /// Time of the request, by the clock of the borrower, in milliseconds.
         asked_ms: u64,
     },
     /// Answers a [`FrameHead::LoanRequest`].
     Loan {
         /// Control address of the lender.
         lender: SocketAddr,
-        /// What is lent.
+        /// Slices that are lent.
         granted: SliceSets,
-        /// What the question said.
+        /// Repeats the time of the request.
         asked_ms: u64,
-        /// Nodes among which quotas are split.
+        /// Number of nodes among which quotas are split.
         nodes_count: u32,
     },
-    /// Asks a keeper for a token.
+    /// Requests a token from a borrower.
     #[serde(rename = "QuotaAsk")]
     QuotaRequest {
-        /// Names the question in its answer.
+        /// Number of the request, repeated in its answer.
         number: u64,
-        /// Whose request it is.
+        /// Workspace that needs the token.
         workspace: WorkspaceName,
     },
     /// Answers a [`FrameHead::QuotaRequest`].
     QuotaAnswer {
-        /// The question.
+        /// Number of the request that it answers.
         number: u64,
-        /// Whether there was a token.
+        /// Whether a token was available.
         verdict: QuotaVerdict,
     },
-    /// Gives a token back to a keeper: the request has not run.
+    /// Returns a token to a borrower, since the request has not run.
     QuotaReturn {
-        /// Whose request it was.
+        /// Workspace of that request.
         workspace: WorkspaceName,
     },
-    /// Asks for the configuration in force at the receiver.
+    /// Requests the configuration in force at the receiver.
     #[serde(rename = "ConfigurationAsk")]
     ConfigurationRequest,
-    /// A configuration; a `RouteConfiguration` by `postcard` follows as the body.
+    /// A configuration; the body is a `RouteConfiguration` encoded with `postcard`.
     Configuration,
 }
 
 /// A call, without its header fields and its body.
 ///
-/// It borrows its texts, so that none is allocated for a call.
+/// It borrows its strings, so that none is allocated for a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallHead<'a> {
-    /// Names the call in its answer.
+    /// Number of the call, repeated in its answer.
     pub number: CallNumber,
     /// Name of its route.
     pub route: &'a str,
-    /// Service that is to run it.
+    /// Service that is called.
     pub service: &'a str,
-    /// Life of the backend server that is meant.
+    /// Life of the backend server that should run it; any if `None`.
     pub life: Option<Cow<'a, BackendLife>>,
-    /// Service on the host where the call began.
+    /// Service of the backend server on the host from which the call comes.
     pub caller_service: &'a str,
-    /// Workspace that holds the caller's key.
+    /// Workspace to which the caller's key belongs.
     pub workspace: Option<&'a str>,
-    /// The id that the caller gave it.
+    /// Attempt id, assigned by the caller.
     pub attempt: &'a str,
-    /// Rank of its route.
+    /// Priority of the call alone: that of its workspace, or else that of its route.
     pub priority: Priority,
-    /// Rank of the route on which the whole request came in; that of this route if it isn't
-    /// known which request the call belongs to.
+    /// Priority of the root request; that of this call alone if it isn't known to which root
+    /// request the call belongs.
     #[serde(rename = "whole_priority")]
     pub request_priority: Priority,
-    /// Time within which its answer is worth most, in milliseconds.
+    /// Target latency of the route, in milliseconds.
     pub target_latency_ms: u64,
-    /// Level of the service as the sender knows it, in thousandths.
+    /// Admission level of the service as known to the sender, in thousandths.
     pub level_permille: u16,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub is_idempotent: bool,
-    /// Whether it is handed over only once its sender has committed to it.
+    /// Whether it is forwarded to the backend server only after a [`FrameHead::Commit`].
     pub needs_commit: bool,
-    /// The rate limit that the backend server told this sender, for a gate that has started anew.
+    /// Rate limit that the backend server reported to this sender, for a gate that lost it in a
+    /// restart.
     pub known_limit: Option<KnownLimit>,
-    /// Whether it runs although the backend server fails what it runs: its sender has been
-    /// told of one that does.
+    /// Whether it runs even if the backend server is failing, because another attempt was already
+    /// refused for that reason.
     pub accepts_failing: bool,
-    /// Time that is left to answer it, in milliseconds.
+    /// Time left until its deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// How far the sender follows the configuration.
+    /// How current the configuration of the sender is.
     #[serde(rename = "followed")]
     pub sync_state: SyncState,
-    /// Request method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query of the request.
     pub target: &'a str,
 }
 
-/// A rate limit that a backend server told a caller with an answer.
+/// A rate limit that a backend server reported in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownLimit {
-    /// Calls a second that it takes of all callers together, in thousandths.
+    /// Calls per second that it accepts from all callers together, in thousandths.
     pub limit_milli_per_s: u64,
-    /// How long ago it was told, in milliseconds.
+    /// Time since it was reported, in milliseconds.
     pub age_ms: u64,
 }
 
 impl KnownLimit {
-    /// So many calls a second, told now.
+    /// Creates a limit of `limit_per_s` calls per second that is reported now.
     pub fn reported_now(limit_per_s: f64) -> Self {
         Self {
             limit_milli_per_s: (limit_per_s * 1_000.0) as u64,
@@ -183,33 +185,33 @@
 /// An answer, without its header fields and its body.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnswerHead {
-    /// The call that it answers.
+    /// Number of the call that it answers.
     pub number: CallNumber,
-    /// What became of the call.
+    /// Outcome of the call.
     pub outcome: LinkOutcome,
-    /// Whether the backend server said in its answer that it leaves.
+    /// Whether the backend server stated in its answer that it is leaving.
     pub is_leaving: bool,
-    /// How busy the backend server is.
+    /// Load of the gate and of the backend server.
     pub report: GateReport,
-    /// How far the sender follows the configuration.
+    /// How current the configuration of the sender is.
     #[serde(rename = "followed")]
     pub sync_state: SyncState,
-    /// What the sender knows of the call's route, where it wasn't told just before.
+    /// Estimate of the demand of the call's route; `None` if it was sent recently.
     #[serde(rename = "news")]
     pub route_estimate: Option<RouteEstimate>,
-    /// Pressure on the services that the route leads to.
+    /// Pressure at the services that the route reaches; empty if it was sent recently.
     pub pressures: Vec<ServicePressure>,
 }
 
-/// What became of a call.
+/// Outcome of a call over a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkOutcome {
-    /// The backend server answered in full.
+    /// The backend server answered completely.
     Answered {
-        /// Status of its answer.
+        /// HTTP status of its answer.
         status: u16,
     },
-    /// The backend server has not begun to run it and never will.
+    /// The backend server has not started to run it and never will.
     NotRun(NotRunReason),
     /// It may have run.
     Unknown(UnknownReason),
@@ -218,33 +220,33 @@
 /// Why a call has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 pub enum NotRunReason {
-    /// The gate has no room before the deadline.
+    /// The gate has no room before the deadline, or the sender doesn't read its answers.
     #[display("full")]
     Full,
-    /// The backend server that is meant isn't there or is leaving.
+    /// The backend server for which the call is meant is absent or leaving.
     #[display("closed")]
     Closed,
-    /// The backend server turned it away: a send counts as made.
+    /// The backend server rejected it; this counts as an attempt.
     #[display("turned_away")]
     TurnedAway,
-    /// The time was over before it could run.
+    /// The deadline passed before it could run, or the call was cancelled.
     #[display("late")]
     Late,
-    /// It could not be sent to the other node.
+    /// It couldn't be sent to the other node.
     #[display("unsent")]
     Unsent,
-    /// The backend server fails what it runs, and the call may run once at most.
+    /// Too many runs of the backend server fail, and the call may run at most once.
     #[display("failing")]
     Failing,
-    /// It is held back because it seems to crash what runs it.
+    /// It is quarantined, since it seems to crash the backend servers that run it.
     #[display("quarantined")]
     Quarantined,
-    /// The backend server takes no more calls a second.
+    /// The rate limit of the backend server is used up.
     #[display("limited")]
     Limited,
 }
 
-/// Why it is not known whether a call has run.
+/// Why it isn't known whether a call has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 pub enum UnknownReason {
     /// The link to the other node was lost.
@@ -253,25 +255,25 @@
     /// The connection to the backend server broke.
     #[display("backend_broke")]
     BackendBroke,
-    /// What the backend server sent is no answer to this call.
+    /// The backend server's answer isn't a valid answer to this call.
     #[display("garbled")]
     Garbled,
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[display("no_answer")]
     NoAnswer,
 }
 
-/// What a call or an answer carries beside its head.
+/// Header fields and body of a call or an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Payload {
-    /// Header fields, without those of one connection.
+    /// Header fields, without hop-by-hop fields.
     pub fields: Fields,
     /// The body.
     pub body: Bytes,
 }
 
 impl Payload {
-    /// A body without header fields.
+    /// Creates a payload with a body and no header fields.
     pub fn from_body(body: impl Into<Bytes>) -> Self {
         Self {
             fields: Fields::default(),
@@ -280,28 +282,28 @@
     }
 }
 
-/// Encodes a frame behind what `out` already holds.
+/// Encodes a frame and appends it to `out`.
 pub fn encode_frame(head: &FrameHead<'_>, payload: &Payload, out: &mut Vec<u8>) {
     let start = out.len();
     out.extend_from_slice(&[0; LENGTHS_BYTES]);
-    let filled = std::mem::take(out);
-    *out = postcard::to_extend(head, filled).expect("a wire type always encodes");
+    let buffer = std::mem::take(out);
+    *out = postcard::to_extend(head, buffer).expect("a wire type always encodes");
     let head_bytes = out.len() - start - LENGTHS_BYTES;
     let fields = payload.fields.as_bytes();
     out.reserve(fields.len() + payload.body.len());
     out.extend_from_slice(fields);
     out.extend_from_slice(&payload.body);
     let frame_bytes = out.len() - start;
-    for (place, length) in [frame_bytes, head_bytes, fields.len()]
+    for (index, length) in [frame_bytes, head_bytes, fields.len()]
         .into_iter()
         .enumerate()
     {
-        let place = start + 4 * place;
-        out[place..place + 4].copy_from_slice(&(length as u32).to_le_bytes());
+        let offset = start + 4 * index;
+        out[offset..offset + 4].copy_from_slice(&(length as u32).to_le_bytes());
     }
 }
 
-/// A frame where it lies in the bytes of a link.
+/// A frame that borrows the bytes read from a link.
 #[derive(Clone, Copy, Debug)]
 pub struct Frame<'a> {
     /// Head, header fields and body.
@@ -311,9 +313,10 @@
 }
 
 impl<'a> Frame<'a> {
-    /// The frame with which these bytes begin, if all of it is there, and its length.
-    fn first_of(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
-        let lengths = [0, 4, 8].map(|place| length_at(bytes, place));
+    /// Parses the frame at the start of the bytes. Returns it with its length, or `None` if it is
+    /// incomplete.
+    fn parse_first(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
+        let lengths = [0, 4, 8].map(|offset| length_at(bytes, offset));
         let [Some(frame_bytes), Some(head_bytes), Some(fields_bytes)] = lengths else {
             return Ok(None);
         };
@@ -334,31 +337,31 @@
         Ok(frame.map(|frame| (frame, frame_bytes)))
     }
 
-    /// What it says.
+    /// Decodes the head.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if that can't be read; the link can't be used any more.
+    /// [`WireError`] if the head can't be decoded; the link can't be used any more.
     pub fn head(&self) -> Result<FrameHead<'a>, WireError> {
         postcard::from_bytes(&self.bytes[..self.head_bytes]).map_err(|_| WireError::Malformed)
     }
 
-    /// Its body.
+    /// Returns the body.
     pub fn body(&self) -> &'a [u8] {
         &self.bytes[self.head_bytes + self.fields_bytes..]
     }
 
-    /// What it carries beside its head, in memory of its own.
+    /// Copies the header fields and the body.
     ///
     /// # Errors
     ///
     /// [`WireError`] if the header fields can't be read; the link can't be used any more.
     pub fn payload(&self) -> Result<Payload, WireError> {
         let rest = &self.bytes[self.head_bytes..];
-        payload_of(Bytes::copy_from_slice(rest), self.fields_bytes)
+        parse_payload(Bytes::copy_from_slice(rest), self.fields_bytes)
     }
 
-    /// The whole of it, in memory of its own.
+    /// Copies the frame.
     ///
     /// # Errors
     ///
@@ -366,91 +369,91 @@
     pub fn to_owned_frame(&self) -> Result<OwnedFrame, WireError> {
         let mut bytes = Bytes::copy_from_slice(self.bytes);
         let head = bytes.split_to(self.head_bytes);
-        let payload = payload_of(bytes, self.fields_bytes)?;
+        let payload = parse_payload(bytes, self.fields_bytes)?;
         Ok(OwnedFrame { head, payload })
     }
 }
 
-fn payload_of(mut bytes: Bytes, fields_bytes: usize) -> Result<Payload, WireError> {
+fn parse_payload(mut bytes: Bytes, fields_bytes: usize) -> Result<Payload, WireError> {
     let fields = Fields::from_bytes(bytes.split_to(fields_bytes))?;
     let body = bytes;
     Ok(Payload { fields, body })
 }
 
-/// A frame in memory of its own; one allocation holds all of it.
+/// A frame that owns its bytes, in a single allocation.
 #[derive(Clone, Debug)]
 pub struct OwnedFrame {
     head: Bytes,
-    /// What it carries beside its head.
+    /// Header fields and body.
     pub payload: Payload,
 }
 
 impl OwnedFrame {
-    /// What it says.
+    /// Decodes the head.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if that can't be read.
+    /// [`WireError`] if the head can't be decoded.
     pub fn head(&self) -> Result<FrameHead<'_>, WireError> {
         postcard::from_bytes(&self.head).map_err(|_| WireError::Malformed)
     }
 }
 
-/// Takes frames out of the bytes of a link.
+/// Splits the byte stream of a link into frames.
 ///
-/// It holds no memory while no frame is there in part: a node has hundreds of links.
+/// It holds memory only while a frame is incomplete, since a node has hundreds of links.
 #[derive(Debug, Default)]
 pub struct FrameReader {
-    /// The beginning of a frame.
-    rest: Vec<u8>,
+    /// Start of an incomplete frame.
+    partial: Vec<u8>,
 }
 
 impl FrameReader {
-    /// Takes in the next bytes of the link and hands on each frame that is whole by now.
+    /// Reads the next bytes of the link and calls `on_frame` for each complete frame.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the bytes are no frame, or the first one that `take` returned; the link
-    /// can't be used any more.
+    /// [`WireError`] if the bytes aren't a valid frame, or the first error of `on_frame`; the
+    /// link can't be used any more.
     pub fn read(
         &mut self,
         bytes: &[u8],
-        mut take: impl FnMut(Frame<'_>) -> Result<(), WireError>,
+        mut on_frame: impl FnMut(Frame<'_>) -> Result<(), WireError>,
     ) -> Result<(), WireError> {
-        if self.rest.is_empty() {
-            let taken_bytes = take_whole(bytes, &mut take)?;
-            self.rest = bytes[taken_bytes..].to_vec();
+        if self.partial.is_empty() {
+            let consumed_bytes = read_complete_frames(bytes, &mut on_frame)?;
+            self.partial = bytes[consumed_bytes..].to_vec();
             return Ok(());
         }
-        self.rest.extend_from_slice(bytes);
-        let taken_bytes = take_whole(&self.rest, &mut take)?;
-        if taken_bytes > 0 {
-            self.rest = self.rest[taken_bytes..].to_vec();
+        self.partial.extend_from_slice(bytes);
+        let consumed_bytes = read_complete_frames(&self.partial, &mut on_frame)?;
+        if consumed_bytes > 0 {
+            self.partial = self.partial[consumed_bytes..].to_vec();
         }
         Ok(())
     }
 
-    /// Bytes of memory that it holds.
+    /// Size of the memory that it holds, in bytes.
     pub fn held_bytes(&self) -> usize {
-        self.rest.capacity()
+        self.partial.capacity()
     }
 }
 
-/// Hands on the frames that are whole; the length of all of them.
-fn take_whole(
+/// Calls `on_frame` for each complete frame. Returns their total length.
+fn read_complete_frames(
     bytes: &[u8],
-    mut take: impl FnMut(Frame<'_>) -> Result<(), WireError>,
+    mut on_frame: impl FnMut(Frame<'_>) -> Result<(), WireError>,
 ) -> Result<usize, WireError> {
-    let mut taken_bytes = 0;
-    while let Some((frame, frame_bytes)) = Frame::first_of(&bytes[taken_bytes..])? {
-        take(frame)?;
-        taken_bytes += frame_bytes;
+    let mut consumed_bytes = 0;
+    while let Some((frame, frame_bytes)) = Frame::parse_first(&bytes[consumed_bytes..])? {
+        on_frame(frame)?;
+        consumed_bytes += frame_bytes;
     }
-    Ok(taken_bytes)
+    Ok(consumed_bytes)
 }
 
-fn length_at(bytes: &[u8], place: usize) -> Option<usize> {
-    let four = bytes.get(place..place + 4)?;
+fn length_at(bytes: &[u8], offset: usize) -> Option<usize> {
+    let four = bytes.get(offset..offset + 4)?;
     let four = four.try_into().expect("a slice of four bytes");
     Some(u32::from_le_bytes(four) as usize)
 }
--- a/crates/kumquatquay-wire/src/routed/mod.rs
+++ b/crates/kumquatquay-wire/src/routed/mod.rs
@@ -1,9 +1,9 @@
-//! What nodes tell each other about calls on configured routes.
+//! Messages between nodes about calls on configured routes.
 //!
-//! Two nodes keep few links between them, TCP connections that carry frames of
-//! many calls at once. A frame is its length, the length of its head, that of its header
-//! fields, all as four bytes, little endian, then the head by `postcard`, then the fields
-//! and the body as they are:
+//! Two nodes are connected by a few links: TCP connections that multiplex the frames of many
+//! calls. A frame starts with the length of the frame, of its head and of its header fields, each
+//! as four bytes, little endian. The head follows, encoded with `postcard`, then the unencoded
+//! fields and body:
 //!
 //! ```text
 //! length: u32 | head length: u32 | fields length: u32 | head | fields | body
--- a/crates/kumquatquay-wire/src/routed/quota.rs
+++ b/crates/kumquatquay-wire/src/routed/quota.rs
@@ -1,34 +1,36 @@
-//! What nodes tell each other of quotas.
+//! Messages about quotas between nodes.
 
 use serde::{Deserialize, Serialize};
 
-/// Workspaces are put into so many slices; each has keepers of its own where there are many
-/// nodes.
+/// Number of slices into which workspaces are divided; with many nodes, each slice has
+/// borrowers of its own.
 pub const SLICES_COUNT: usize = 16;
 
-/// A node lends each half of what it owns to another keeper, so that one that ends takes at most
-/// half of it along.
+/// Number of parts of a node's quota that are lent separately.
+///
+/// Each half is lent to a borrower of its own, so that at most half is lost when a borrower
+/// stops.
 pub const HALVES_COUNT: usize = 2;
 
-/// Slices of each half.
+/// A set of slices for each half.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceSets([u16; HALVES_COUNT]);
 
 impl SliceSets {
-    /// All that there is.
+    /// All slices of both halves.
     pub const ALL: Self = Self([u16::MAX; HALVES_COUNT]);
 
-    /// Whether a slice of a half is in it.
+    /// Whether the set of a half contains a slice.
     pub fn has(self, half: usize, slice: usize) -> bool {
         self.0[half] & (1 << slice) != 0
     }
 
-    /// Puts a slice of a half in.
+    /// Adds a slice to the set of a half.
     pub fn add(&mut self, half: usize, slice: usize) {
         self.0[half] |= 1 << slice;
     }
 
-    /// Those of one half alone.
+    /// Returns only the slices of one half.
     #[must_use]
     pub fn of_half(self, half: usize) -> Self {
         let mut sets = Self::default();
@@ -36,7 +38,7 @@
         sets
     }
 
-    /// Whether there is nothing in it.
+    /// Whether both sets are empty.
     pub fn is_empty(self) -> bool {
         self.0 == [0; HALVES_COUNT]
     }
@@ -45,15 +47,16 @@
 /// Whether a request is within the quota of its workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaVerdict {
-    /// A token was taken for it.
+    /// Within the quota; a token was taken for the request.
     Within,
-    /// There is none.
+    /// Over the quota; no token is available.
     Over {
-        /// Time until there is one, in milliseconds, if anything is lent to the keeper.
+        /// Time until a token is available, in milliseconds; `None` if nothing is lent to the
+        /// borrower.
         wait_ms: Option<u32>,
-        /// Part of the quota that is lent to the keeper, in millionths.
+        /// Share of the quota that is lent to the borrower, in millionths.
         share_millionths: u32,
     },
-    /// The keeper knows no quota of that workspace.
+    /// The borrower knows no quota for that workspace.
     NotKnown,
 }
--- a/crates/kumquatquay-wire/src/routed/route_estimate.rs
+++ b/crates/kumquatquay-wire/src/routed/route_estimate.rs
@@ -1,34 +1,35 @@
-//! Where a route leads, and the pressure on the way.
+//! Estimated demand of routes, and pressure at the services that they reach.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ServiceName;
 
-/// What the node beside a backend server has learnt of a route.
+/// Estimate of the demand of a route, made by the node on the host of a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteEstimate {
-    /// Whether outside callers use it; otherwise backend servers call it.
+    /// Whether the route is called from outside; otherwise backend servers call it.
     pub is_from_outside: bool,
-    /// Whether enough was seen to count more than what others have learnt.
+    /// Whether the estimate is based on enough samples; estimates that aren't are ignored then.
     pub is_settled: bool,
-    /// What one run asks of each service, directly or by what it calls, its own run included.
+    /// Demand of one run at each service, through direct and indirect calls, including the run
+    /// itself.
     #[serde(rename = "leads_to")]
     pub demands: Vec<ServiceDemand>,
 }
 
-/// What one run of a route asks of a service.
+/// Demand of one run of a route at a service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceDemand {
     /// The service.
     pub service: ServiceName,
-    /// Calls there.
+    /// Number of calls at the service.
     pub calls: f32,
-    /// Time for which all of these keep slots busy, in microseconds; 0 while it isn't known.
+    /// Total time for which these calls occupy slots, in microseconds; 0 while it isn't known.
     pub work_us: u32,
 }
 
 impl ServiceDemand {
-    /// What so many runs ask.
+    /// Returns the demand of `runs_count` runs.
     #[must_use]
     pub fn scaled(&self, runs_count: f32) -> Self {
         Self {
@@ -38,8 +39,10 @@
         }
     }
 
-    /// This and another one at the same service. Where the time of one isn't known, its calls are
-    /// taken to be like those of the other.
+    /// Adds another demand at the same service.
+    ///
+    /// If the slot time of one isn't known, its calls are assumed to take as long as those of the
+    /// other.
     #[must_use]
     pub fn combine(&self, other: &Self) -> Self {
         let calls = self.calls + other.calls;
@@ -48,7 +51,7 @@
             .filter(|demand| demand.work_us > 0);
         let timed_calls: f32 = known.clone().map(|demand| demand.calls).sum();
         let work_us: f32 = known.map(|demand| demand.work_us as f32).sum();
-        let made_up = if timed_calls > 0.0 {
+        let extrapolation = if timed_calls > 0.0 {
             calls / timed_calls
         } else {
             1.0
@@ -56,18 +59,18 @@
         Self {
             service: self.service.clone(),
             calls,
-            work_us: (work_us * made_up) as u32,
+            work_us: (work_us * extrapolation) as u32,
         }
     }
 }
 
-/// How much room a service has for whole requests.
+/// Pressure at a service: the share of root requests that it has room for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServicePressure {
     /// The service.
     pub service: ServiceName,
-    /// Share of the ranks of requests that are let in, from 0 to 1.
+    /// Admission level: the share of root requests, by priority, that are admitted, from 0 to 1.
     pub level: f32,
-    /// How old that is, in milliseconds.
+    /// Age of the level, in milliseconds.
     pub age_ms: u32,
 }
--- a/crates/kumquatquay-wire/src/routed/workspace.rs
+++ b/crates/kumquatquay-wire/src/routed/workspace.rs
@@ -6,18 +6,17 @@
 
 use super::Priority;
 
-/// Name of a workspace, as operators call it.
+/// Name of a workspace, given by operators.
 pub type WorkspaceName = String;
 
-/// Separates digests of keys from all other uses of the hash.
+/// BLAKE3 context that separates key digests from all other uses of the hash.
 const KEY_CONTEXT: &str = "kumquatquay workspace key digest v1";
 
-/// Digest of a workspace's key.
+/// Digest of a key of a workspace.
 ///
-/// Keys are digested where they are read, from a request or from a configuration, and are kept
-/// nowhere: neither a message between nodes nor a log line, a dump or a panic can hold one. Keys
-/// are drawn at random by those who issue them, so a digest doesn't lead back to its key. It
-/// isn't printed either.
+/// Keys are digested when they are read from a request or a configuration, and are stored
+/// nowhere: no message between nodes, log line, dump or panic message can contain one. Keys are
+/// random, so a key can't be recovered from its digest. `Debug` doesn't print the digest either.
 ///
 /// # Examples
 ///
@@ -31,7 +30,7 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digests a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, key))
     }
@@ -43,24 +42,24 @@
     }
 }
 
-/// A workspace, as operators confirmed it.
+/// Settings of a workspace, as confirmed by operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceSettings {
-    /// As operators and backend servers know it.
+    /// Name used by operators and backend servers.
     pub name: WorkspaceName,
-    /// Its keys; each is held by one workspace.
+    /// Digests of its keys; each key belongs to one workspace.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests; goes before that of their routes.
+    /// Priority of its requests; takes precedence over the priority of their routes.
     pub priority: Option<Priority>,
-    /// What all its requests together may use; `None` without a limit.
+    /// Quota for all its requests together; `None` if it is unlimited.
     pub quota: Option<Quota>,
 }
 
-/// What all requests of a workspace together may use, over all nodes.
+/// Rate limit for all requests of a workspace together, over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests a second, in the long run.
+    /// Requests per second, on average.
     pub rate_per_s: f64,
-    /// Requests at once after a pause.
+    /// Size of a burst after a pause, in requests.
     pub burst_count: f64,
 }
