--- a/crates/kumquatquay-wire/src/answer_context.rs
+++ b/crates/kumquatquay-wire/src/answer_context.rs
@@ -1,47 +1,47 @@
-//! What travels with an answer from node to node.
+//! Context that accompanies an answer from node to node.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{MeshKey, Outcome, Sequence, ServiceLevel, WireError};
 
-/// What an ingress node sees of its own backend server.
+/// Load of a backend server, as seen by the node on its host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that the backend server is running.
+    /// Number of requests that the backend server is running.
     pub in_flight_count: u32,
-    /// Requests that wait at the gate.
+    /// Number of requests that wait at the gate.
     pub queued_count: u32,
-    /// Requests that the gate lets run at the same time.
+    /// Concurrency limit of the gate.
     pub limit_count: u32,
-    /// Whether the backend server's health endpoint says that it is ill.
+    /// Whether the health endpoint of the backend server reports it as unhealthy.
     pub is_reported_ill: bool,
 }
 
-/// What a node adds to the answer of a call for the node that sent it.
+/// Context that a node adds to the answer to a call, for the node that sent the call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerContext {
     /// Repeats [`RequestContext::attempt`](crate::RequestContext::attempt).
     pub attempt: Sequence,
     /// Whether the call ran.
     pub outcome: Outcome,
-    /// Retries that the subtree did not spend.
+    /// Unspent retry allowance of the subtree, returned to the sender.
     pub allowance_returned_count: u16,
-    /// Attempts that the subtree made and that no allowance paid for, without
-    /// the one that is answered; [`AnswerContext::ATTEMPTS_UNKNOWN`] if answers
+    /// Number of attempts in the subtree that weren't charged to a retry allowance, not
+    /// counting the attempt that is answered; [`AnswerContext::ATTEMPTS_UNKNOWN`] if answers
     /// in the subtree were lost.
     pub attempts_count: u16,
-    /// Levels of the services that the subtree touched.
+    /// Admission levels of the services that the subtree reached.
     pub levels: Vec<ServiceLevel>,
-    /// Load of the answering host.
+    /// Load of the backend server of the answering host.
     pub load: LoadReport,
-    /// Whether the answering host is leaving and takes no new work.
+    /// Whether the answering host is leaving and accepts no new work.
     pub is_leaving: bool,
-    /// How long to wait before asking again, in milliseconds; 0 if unset.
+    /// Time to wait before a retry, in milliseconds; 0 if unset.
     pub retry_after_ms: u32,
 }
 
 impl AnswerContext {
-    /// Stands for a number of attempts that nobody knows.
+    /// Value of [`AnswerContext::attempts_count`] for an unknown number of attempts.
     pub const ATTEMPTS_UNKNOWN: u16 = u16::MAX;
 
     /// Name of the HTTP header that carries the context.
--- a/crates/kumquatquay-wire/src/bulk/bulk_answer.rs
+++ b/crates/kumquatquay-wire/src/bulk/bulk_answer.rs
@@ -1,4 +1,4 @@
-//! Answers with bulk state.
+//! Answers to requests for bulk state.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,23 +7,23 @@
 
 /// Answers a [`BulkRequest`](crate::BulkRequest).
 ///
-/// The host that carries it adds the authentication.
+/// It isn't authenticated by itself; the transport between the hosts does that.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BulkAnswer {
-    /// The data centres whose digest differed.
+    /// The members of the data centres whose digest differs.
     Members {
-        /// One entry each; as many as fit, the rest is asked for again.
+        /// One entry per data centre, as many as fit; the others have to be requested again.
         data_centres: Vec<DataCentreMembers>,
     },
     /// The configuration in force.
     Configuration {
-        /// Encoded by the configuration's own codec.
+        /// Encoded [`ConfigurationAnswer`](crate::ConfigurationAnswer).
         payload: Vec<u8>,
     },
 }
 
 impl BulkAnswer {
-    /// The longest answer that is sent or read, in bytes.
+    /// Maximum size of an answer that is sent or accepted, in bytes.
     pub const LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
     /// Encodes the answer.
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// [`WireError`] if it is too long or malformed, or has bytes left over.
+    /// [`WireError`] if it is too long or malformed, or has trailing bytes.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, WireError> {
         decode(bytes, Self::LIMIT_BYTES)
     }
--- a/crates/kumquatquay-wire/src/bulk/data_centre_members.rs
+++ b/crates/kumquatquay-wire/src/bulk/data_centre_members.rs
@@ -13,20 +13,20 @@
     pub digest: TableDigest,
 }
 
-/// All that one node knows of the members of one data centre.
+/// All members of one data centre that a node knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DataCentreMembers {
     /// The data centre.
     pub data_centre: DataCentreName,
-    /// Whether the answering node is in that data centre and knows all of it,
-    /// so that a member which is missing here is gone.
+    /// Whether the answering node is in that data centre and knows all of its members, so that a
+    /// missing member is gone.
     pub is_complete: bool,
-    /// Members, those that are gone included while they are remembered.
+    /// Records of the members, including remembered ones that are gone.
     pub records: Vec<MemberRecord>,
 }
 
 impl DataCentreMembers {
-    /// Bytes of its encoding.
+    /// Encoded size in bytes.
     pub fn size_bytes(&self) -> usize {
         encoded_bytes(self)
     }
--- a/crates/kumquatquay-wire/src/bulk/mod.rs
+++ b/crates/kumquatquay-wire/src/bulk/mod.rs
@@ -1,4 +1,4 @@
-//! State that is too large for datagrams, asked for and answered over TCP.
+//! Exchange over TCP of state that is too large for datagrams.
 
 mod bulk_answer;
 mod bulk_request;
@@ -16,10 +16,10 @@
     postcard::to_stdvec(value).expect("a wire type always encodes into memory")
 }
 
-/// Decodes a whole value; bytes that are left over are an error.
+/// Decodes a value; trailing bytes are an error.
 ///
-/// A forged length can't exhaust memory: `serde` reserves no more than a fixed
-/// amount ahead of the elements that are really there.
+/// A forged length can't exhaust memory, since `serde` limits the capacity that it reserves
+/// before the elements are decoded.
 fn decode<T: DeserializeOwned>(bytes: &[u8], limit_bytes: usize) -> Result<T, WireError> {
     if bytes.len() > limit_bytes {
         return Err(WireError::TooLong);
--- a/crates/kumquatquay-wire/src/caller_proof.rs
+++ b/crates/kumquatquay-wire/src/caller_proof.rs
@@ -1,14 +1,13 @@
-//! How a caller proves its name.
+//! Authentication of callers.
 
 use subtle::ConstantTimeEq;
 
 use crate::MeshKey;
 
-/// The proof that a caller puts after its name in the header
-/// `kumquatquay-caller: NAME.PROOF`.
+/// The proof of a caller's name, sent in the header `kumquatquay-caller: NAME.PROOF`.
 ///
-/// Operators issue it with `kumquatquay caller-token NAME`. It does not expire;
-/// a new mesh secret makes all proofs void.
+/// Operators issue it with `kumquatquay caller-token NAME`. It doesn't expire; changing the mesh
+/// secret invalidates all proofs.
 ///
 /// # Examples
 ///
@@ -26,18 +25,18 @@
 impl CallerProof {
     const PURPOSE: &'static str = "caller";
 
-    /// The proof for a name, as text that fits a header.
+    /// Computes the proof for a name, as text for a header value.
     pub fn of(key: &MeshKey, name: &str) -> String {
         key.code_text(Self::PURPOSE, name.as_bytes())
     }
 
-    /// Whether the proof belongs to the name.
+    /// Whether the proof is valid for the name.
     pub fn check(key: &MeshKey, name: &str, proof: &str) -> bool {
         let expected = Self::of(key, name);
         bool::from(expected.as_bytes().ct_eq(proof.as_bytes()))
     }
 
-    /// Splits `NAME.PROOF` at its last dot; a proof holds no dot.
+    /// Splits `NAME.PROOF` at its last dot, since a proof contains no dot.
     pub fn split(header: &str) -> Option<(&str, &str)> {
         header.rsplit_once('.')
     }
--- a/crates/kumquatquay-wire/src/control/datagram.rs
+++ b/crates/kumquatquay-wire/src/control/datagram.rs
@@ -1,4 +1,4 @@
-//! The UDP datagram that carries control messages.
+//! UDP datagrams of the control protocol.
 
 use std::net::SocketAddr;
 
@@ -9,68 +9,68 @@
     size::encoded_bytes,
 };
 
-/// One control datagram, sealed by the mesh key.
+/// A control datagram, authenticated with the mesh key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// Control address of the sender.
     pub sender: SocketAddr,
     /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Number of this datagram in the sender's incarnation; a receiver takes
-    /// each number once, so that a recorded datagram can't be replayed.
+    /// Sequence number within the sender's incarnation. A receiver accepts each number once, so
+    /// that a recorded datagram can't be replayed.
     pub sequence: Sequence,
     /// The message.
     pub body: ControlBody,
-    /// News that rides along.
+    /// Rumours that are piggybacked on the message.
     pub rumours: Vec<Rumour>,
 }
 
-/// What a control datagram asks or says.
+/// Message of a control datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlBody {
-    /// Asks the receiver to answer with [`ControlBody::Ack`].
+    /// Requests a [`ControlBody::Ack`] from the receiver.
     Ping {
-        /// Names the probe; random, so that no recorded answer fits it.
+        /// Id of the probe; random, so that no recorded answer matches it.
         probe: Sequence,
         /// Digest of all members that the sender knows.
         digest: TableDigest,
     },
     /// Answers a [`ControlBody::Ping`].
     Ack {
-        /// Repeats the name of the probe.
+        /// Repeats the id of the probe.
         probe: Sequence,
     },
-    /// Asks the receiver to ping a third node and to pass on its answer.
+    /// Asks the receiver to ping another node and to relay its answer.
     IndirectPing {
-        /// Repeats the name of the probe.
+        /// Id of the probe.
         probe: Sequence,
         /// Control address of the node to ping.
         target: SocketAddr,
     },
-    /// Says what the sender's own data centre looks like, to another one.
+    /// Reports the digest of the sender's data centre to a node of another one.
     Digest {
         /// Data centre of the sender.
         data_centre: DataCentreName,
-        /// Digest of its members.
+        /// Digest of the members of that data centre.
         digest: TableDigest,
     },
-    /// Carries rumours only.
+    /// Carries only rumours.
     #[serde(rename = "News")]
     Gossip,
-    /// Carries the sender's own record and asks for the receiver's.
+    /// Carries the record of the sender and requests that of the receiver.
     Introduce,
 }
 
 impl Datagram {
-    /// The longest datagram that is sent or read, in bytes.
+    /// Maximum size of a datagram that is sent or accepted, in bytes.
     pub const LIMIT_BYTES: usize = 1_200;
 
-    /// Bytes of the IP and UDP headers around each datagram.
+    /// Size of the IP and UDP headers of a datagram, in bytes.
     pub const NETWORK_HEADERS_BYTES: usize = 28;
 
     const PURPOSE: &'static str = "control datagram";
 
-    /// Bytes of the encoded datagram, its authentication code included.
+    /// Encoded size in bytes, including the authentication code.
     pub fn size_bytes(&self) -> usize {
         MeshKey::CODE_BYTES + encoded_bytes(self)
     }
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// [`WireError`] if it is too long, cut short, forged or malformed.
+    /// [`WireError`] if it is too long, truncated, forged or malformed.
     pub fn from_bytes(bytes: &[u8], key: &MeshKey) -> Result<Self, WireError> {
         if bytes.len() > Self::LIMIT_BYTES {
             return Err(WireError::TooLong);
--- a/crates/kumquatquay-wire/src/control/member_record.rs
+++ b/crates/kumquatquay-wire/src/control/member_record.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about one node and its backend server.
+//! Membership record of a node and its backend server.
 
 use std::net::SocketAddr;
 
@@ -7,67 +7,69 @@
 
 use crate::{BackendLife, DataCentreName, Incarnation, ServiceName, TableDigest};
 
-/// State of a backend server and its node, in the order they pass through it.
+/// State of a backend server and its node, in the order of their life cycle.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Display,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// The node runs; its backend server has not announced itself.
+    /// The node is running; its backend server hasn't announced itself.
     #[display("idle")]
     Idle,
-    /// Announced and still cold.
+    /// The backend server has announced itself and is still warming up.
     #[display("warming")]
     Warming,
-    /// Takes work.
+    /// The backend server accepts work.
     #[display("serving")]
     Serving,
-    /// Finishes what it has and takes no new work.
+    /// The backend server completes its work and accepts no new work.
     #[display("draining")]
     Draining,
-    /// Left, or declared dead.
+    /// The node has left or was declared dead.
     #[display("gone")]
     Gone,
 }
 
 /// One node, its host and the backend server on it.
 ///
-/// Of two records of the same node the one with the higher incarnation counts,
-/// then the one with the higher revision, then the later state.
+/// Of two records of the same node, the one with the higher [`MemberRecord::rank`] takes
+/// precedence: the higher incarnation, then the higher revision, then the later state, then the
+/// suspected one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// UDP and TCP address for control messages; identifies the node.
+    /// UDP and TCP address for control messages, which identifies the node.
     pub control: SocketAddr,
     /// Address for calls from other nodes.
     pub peer: SocketAddr,
     /// Data centre of the host.
     pub data_centre: DataCentreName,
-    /// Service of the backend server, once announced.
+    /// Service of the backend server, once it is announced.
     pub service: Option<ServiceName>,
-    /// Life of the backend server, where it names its lives; an address may be
-    /// taken over by another one.
+    /// Life of the backend server, if it reports one; another backend server may take over the
+    /// address.
     pub life: Option<BackendLife>,
-    /// Life of the node.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// Number of the change within the incarnation.
+    /// Number of this change of the record within the incarnation.
     pub revision: u32,
     /// State of the backend server.
     pub state: MemberState,
-    /// Whether a prober doubts that the node is alive.
+    /// Whether a prober suspects that the node is dead.
     pub is_suspect: bool,
-    /// Requests that the backend server says it can run at the same time.
+    /// Number of requests that the backend server can run concurrently, as it reports.
     pub slots_count: u32,
 }
 
 impl MemberRecord {
-    /// Place among the records of the same node; the highest one counts.
+    /// Returns the rank among the records of the same node; the highest rank takes precedence.
     pub fn rank(&self) -> (Incarnation, u32, MemberState, bool) {
         (self.incarnation, self.revision, self.state, self.is_suspect)
     }
 
-    /// The record's part of a [`TableDigest`]; 0 for a member that is gone.
+    /// Returns the contribution of this record to a [`TableDigest`]; 0 for a member that is
+    /// gone.
     ///
-    /// Doubts are left out: they pass, and each data centre settles its own.
+    /// Suspicions are left out: they are transient, and each data centre resolves its own.
     pub fn digest(&self) -> TableDigest {
         if self.state == MemberState::Gone {
             return 0;
--- a/crates/kumquatquay-wire/src/control/member_status.rs
+++ b/crates/kumquatquay-wire/src/control/member_status.rs
@@ -1,4 +1,4 @@
-//! What others say of a member that does not answer.
+//! Status of a member that doesn't answer, as reported by others.
 
 use std::net::SocketAddr;
 
@@ -6,17 +6,17 @@
 
 use crate::Incarnation;
 
-/// Doubt about a member, or its death, in a third of the bytes of its record.
+/// Suspicion or death of a member, in a third of the size of its record.
 ///
-/// It speaks of one revision of one incarnation, so the member refutes it with
-/// its next revision and a replacement is not touched by it.
+/// It applies to one revision of one incarnation, so the member refutes it with its next
+/// revision, and a replacement isn't affected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Control address of the member.
     pub control: SocketAddr,
-    /// Life of the node that is meant.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// The last revision that was known of it.
+    /// The last known revision of its record.
     pub revision: u32,
     /// Whether it is declared dead; otherwise it is suspected.
     pub is_gone: bool,
--- a/crates/kumquatquay-wire/src/control/rumour.rs
+++ b/crates/kumquatquay-wire/src/control/rumour.rs
@@ -1,4 +1,4 @@
-//! News that spreads from node to node.
+//! Rumours, which nodes spread by gossip.
 
 use derive_more::From;
 use serde::{Deserialize, Serialize};
@@ -8,24 +8,24 @@
     size::encoded_bytes,
 };
 
-/// One piece of news; repeating it or reordering it is harmless.
+/// An update that is spread by gossip; duplicates and reordering are harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, From)]
 pub enum Rumour {
-    /// A member changed.
+    /// The record of a member changed.
     Member(MemberRecord),
-    /// A member does not answer.
+    /// A member doesn't answer.
     Status(MemberStatus),
-    /// A service refuses less important requests.
+    /// The admission level of a service.
     Level(ServiceLevel),
-    /// A request is suspected of crashing backend servers, or released.
+    /// A request is suspected of crashing backend servers or quarantined, or was released.
     Quarantine(QuarantineRecord),
-    /// The sender has this version of the configuration in force.
+    /// Version of the configuration in force at the sender.
     #[from(skip)]
     Configuration(ConfigurationVersion),
 }
 
 impl Rumour {
-    /// Bytes that the rumour takes in a datagram.
+    /// Size of the rumour in a datagram, in bytes.
     pub fn size_bytes(&self) -> usize {
         encoded_bytes(self)
     }
--- a/crates/kumquatquay-wire/src/control/service_level.rs
+++ b/crates/kumquatquay-wire/src/control/service_level.rs
@@ -1,17 +1,17 @@
-//! The least importance that a service admits.
+//! Admission level of a service: the least importance that it admits.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{DataCentreName, Importance, ServiceName};
 
-/// Level of a service in one data centre.
+/// Admission level of a service in one data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLevel {
     /// The service.
     pub service: ServiceName,
-    /// Where its backend servers are.
+    /// Data centre of its backend servers.
     pub data_centre: DataCentreName,
-    /// Requests below it are refused.
+    /// Least importance that is admitted; less important requests are refused.
     pub least_admitted: Importance,
     /// Time since the level was observed, in milliseconds.
     pub age_ms: u32,
--- a/crates/kumquatquay-wire/src/error.rs
+++ b/crates/kumquatquay-wire/src/error.rs
@@ -1,23 +1,23 @@
-//! Why bytes from another process were not taken.
+//! Errors of decoding bytes from another process.
 
 use derive_more::{Display, Error};
 
-/// Why a frame, header or datagram was refused.
+/// Why a frame, header or datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum WireError {
-    /// Longer than its kind may be.
+    /// Longer than the limit of its type.
     #[display("longer than its limit")]
     TooLong,
     /// Shorter than the authentication code alone.
     #[display("cut short")]
     Truncated,
-    /// Not the text encoding that was expected.
+    /// Not valid base64url.
     #[display("not base64url text")]
     NotText,
-    /// The authentication code does not match.
+    /// The authentication code doesn't match.
     #[display("authentication failed")]
     Forged,
-    /// Authenticated, but not a value of the expected type.
+    /// Not a value of the expected type.
     #[display("not a value of this protocol version")]
     Malformed,
 }
--- a/crates/kumquatquay-wire/src/importance.rs
+++ b/crates/kumquatquay-wire/src/importance.rs
@@ -1,19 +1,20 @@
-//! The one order by which every service decides what to refuse first.
+//! The order in which every service refuses requests.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Rank of a request's caller and route; higher is refused later.
+/// Class of a request, from the priority of its caller and route; a higher class is refused
+/// later.
 pub type Class = u8;
 
-/// Place of a request among those of its class; higher is refused later.
+/// Order of a request within its class; a higher cohort is refused later.
 pub type Cohort = u16;
 
-/// Importance of a whole request: its class first, then its cohort.
+/// Importance of a root request, ordered by class, then by cohort.
 ///
-/// Every service orders by the same value, so services that are overloaded at
-/// the same time keep the *same* requests, and whole requests complete.
+/// All services order by the same value, so services that are overloaded at the same time
+/// admit the *same* requests, and root requests complete with all their calls.
 ///
 /// # Examples
 ///
@@ -31,10 +32,10 @@
 pub struct Importance(u32);
 
 impl Importance {
-    /// The least importance: a level set to it admits everything.
+    /// The lowest importance; a service with this level admits everything.
     pub const LEAST: Importance = Importance(0);
 
-    /// The greatest importance that a request can have.
+    /// The highest importance of a request.
     pub const GREATEST: Importance = Importance(((Class::MAX as u32) << 16) | Cohort::MAX as u32);
 
     /// Combines a class and a cohort.
@@ -52,12 +53,12 @@
         self.0 as Cohort
     }
 
-    /// The value as one number, for arithmetic on levels.
+    /// Returns the value as a number, for arithmetic on levels.
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// The importance for a number, at most [`Importance::GREATEST`].
+    /// Converts a number, clamped to [`Importance::GREATEST`].
     pub fn from_number(number: u32) -> Self {
         Self(number.min(Self::GREATEST.0))
     }
--- a/crates/kumquatquay-wire/src/key.rs
+++ b/crates/kumquatquay-wire/src/key.rs
@@ -1,4 +1,4 @@
-//! The key that all nodes of a mesh share, and what it authenticates.
+//! The key shared by all nodes of a mesh, and its use for authentication.
 
 use std::fmt;
 
@@ -10,8 +10,8 @@
 
 /// Key shared by the nodes of one mesh.
 ///
-/// Every use names a purpose, so that a value sealed for one purpose is refused
-/// for any other.
+/// Every use states a purpose, and a value that is sealed for one purpose is rejected for any
+/// other.
 ///
 /// # Examples
 ///
@@ -28,22 +28,22 @@
 
 const CODE_BYTES: usize = MeshKey::CODE_BYTES;
 
-/// The longest text that [`MeshKey::open_text`] looks at.
+/// Maximum size of a text that [`MeshKey::open_text`] accepts, in bytes.
 const TEXT_LIMIT_BYTES: usize = 8 * 1024;
 
-/// Separates this derivation from every other use of the same secret.
+/// BLAKE3 context that separates this derivation from any other use of the same secret.
 const DERIVATION_CONTEXT: &str = "kumquatquay 2026-12-02 mesh key v1";
 
 impl MeshKey {
-    /// Bytes of the authentication code in front of a sealed value.
+    /// Size of the authentication code in front of a sealed value, in bytes.
     pub const CODE_BYTES: usize = 16;
 
-    /// Derives the key from the operators' shared secret.
+    /// Derives the key from the shared secret of the operators.
     pub fn from_secret(secret: &str) -> Self {
         Self(blake3::derive_key(DERIVATION_CONTEXT, secret.as_bytes()))
     }
 
-    /// Encodes a value and puts its authentication code in front.
+    /// Encodes a value and prepends its authentication code.
     pub fn seal<T: Serialize>(&self, purpose: &str, value: &T) -> Vec<u8> {
         let body = postcard::to_stdvec(value).expect("a wire type always encodes into memory");
         let mut sealed = Vec::with_capacity(CODE_BYTES + body.len());
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the bytes are too short, forged or of another type.
+    /// [`WireError`] if the bytes are too short, forged or of a different type.
     pub fn open<T: DeserializeOwned>(&self, purpose: &str, sealed: &[u8]) -> Result<T, WireError> {
         let Some((code, body)) = sealed.split_at_checked(CODE_BYTES) else {
             return Err(WireError::Truncated);
@@ -70,12 +70,12 @@
         }
     }
 
-    /// [`MeshKey::seal`] as text that fits a header.
+    /// Same as [`MeshKey::seal`], as text for a header value.
     pub fn seal_text<T: Serialize>(&self, purpose: &str, value: &T) -> String {
         URL_SAFE_NO_PAD.encode(self.seal(purpose, value))
     }
 
-    /// [`MeshKey::open`] for text from [`MeshKey::seal_text`].
+    /// Same as [`MeshKey::open`], for text from [`MeshKey::seal_text`].
     ///
     /// # Errors
     ///
@@ -94,13 +94,13 @@
         self.open(purpose, &sealed)
     }
 
-    /// A keyed hash, for cohorts and other choices that outsiders must not steer.
+    /// Computes a keyed hash, for cohorts and other choices that outsiders must not influence.
     pub fn keyed_hash(&self, purpose: &str, bytes: &[u8]) -> u64 {
         let code = self.code(purpose, bytes);
         u64::from_le_bytes(code[..8].try_into().expect("the code has 16 bytes"))
     }
 
-    /// The authentication code of some bytes, as text that fits a header.
+    /// Computes the authentication code of some bytes, as text for a header value.
     pub(crate) fn code_text(&self, purpose: &str, bytes: &[u8]) -> String {
         URL_SAFE_NO_PAD.encode(self.code(purpose, bytes))
     }
--- a/crates/kumquatquay-wire/src/lib.rs
+++ b/crates/kumquatquay-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Types that cross between kumquatquay's processes, and their codecs.
+//! Types that kumquatquay's processes exchange, and their codecs.
 //!
-//! Everything here is plain data. The derive macros of `serde` generate the
-//! encoders and decoders when the crate is built, so no separate generator is
-//! needed; `postcard` is the encoding. See `docs/PROTOCOL.md` for the frames.
+//! All types are plain data. The derive macros of `serde` generate the encoders and decoders,
+//! so no separate code generator is needed; the encoding between nodes is `postcard`. The
+//! frames are described in `docs/PROTOCOL.md`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/kumquatquay-wire/src/operation_ref.rs
+++ b/crates/kumquatquay-wire/src/operation_ref.rs
@@ -1,4 +1,4 @@
-//! The names of a non-idempotent operation.
+//! Identity of a non-idempotent operation.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 
 use crate::{Incarnation, Sequence};
 
-/// A non-idempotent operation and the one node whose memory decides it.
+/// A non-idempotent operation and its home: the one node that decides whether it runs.
 ///
-/// The home is named by an issued id or by the winning claim in the log. Only
-/// that incarnation of that node may hand the operation over, so an operation
-/// whose home is gone is never run again.
+/// The home is determined by an issued id or by the winning claim in the log. Only that
+/// incarnation of the node may forward the operation, so an operation whose home is gone never
+/// runs again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OperationRef {
     /// Peer address of the home node.
     pub home: SocketAddr,
     /// Incarnation of the home node that knows the operation.
     pub home_incarnation: Incarnation,
-    /// Number that the home gave to the operation.
+    /// Sequence number that the home assigned to the operation.
     pub sequence: Sequence,
-    /// When the home forgets it, in milliseconds since the Unix epoch.
+    /// Time at which the home removes it, in milliseconds since the Unix epoch.
     pub expires_unix_ms: u64,
 }
--- a/crates/kumquatquay-wire/src/outcome.rs
+++ b/crates/kumquatquay-wire/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What is known about whether a request ran.
+//! Whether a request ran, as far as it is known.
 
 use derive_more::{Display, FromStr};
 use serde::{Deserialize, Serialize};
@@ -11,10 +11,10 @@
     /// A backend server answered after running it.
     #[display("ran")]
     Ran,
-    /// It is certain that no backend server ran it, nor will.
+    /// No backend server has run it or will run it.
     #[display("not-run")]
     NotRun,
-    /// It was handed over and the answer was lost.
+    /// It was forwarded to a backend server and the answer was lost.
     #[display("unknown")]
     Unknown,
 }
--- a/crates/kumquatquay-wire/src/request_context.rs
+++ b/crates/kumquatquay-wire/src/request_context.rs
@@ -1,4 +1,4 @@
-//! What travels with a call from node to node.
+//! Context that accompanies a call from node to node.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,49 +7,49 @@
     RequestId, Sequence, ServiceName, TraceId, WireError,
 };
 
-/// The part of a request's ledger that a node hands to the next one.
+/// The part of a request's ledger that a node passes on with a call.
 ///
-/// It travels in the header [`RequestContext::HEADER`], authenticated by the
-/// mesh key. It never passes through a backend server, so an application can
-/// neither read nor forge it.
+/// It is sent in the header [`RequestContext::HEADER`], authenticated with the mesh key. It
+/// never passes through a backend server, so an application can neither read nor forge it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestContext {
-    /// Trace that the request belongs to.
+    /// Trace id of the request.
     pub trace: TraceId,
-    /// Drawn at the entry, so that two requests under one trace id are told apart.
+    /// Id assigned at the entry, which distinguishes requests with the same trace id.
     pub request: RequestId,
-    /// The caller at the entry of the whole request.
+    /// Caller of the root request.
     pub caller: CallerName,
     /// Service that is called.
     pub service: ServiceName,
-    /// Class given at the entry.
+    /// Class assigned at the entry.
     pub class: Class,
-    /// Cohort given at the entry.
+    /// Cohort assigned at the entry.
     pub cohort: Cohort,
-    /// Time left for the whole request when this call was sent, in milliseconds.
+    /// Time left until the deadline of the root request when this call was sent, in
+    /// milliseconds.
     pub remaining_ms: u32,
-    /// Retries lent to the callee's subtree.
+    /// Retry allowance lent to the subtree of the callee.
     pub allowance_count: u16,
-    /// Whether an earlier attempt of this subtree may have run, so that each of
-    /// its calls has to be paid from the retry allowance.
+    /// Whether an earlier attempt of this subtree may have run, so that each of its calls is
+    /// charged to the retry allowance.
     #[serde(rename = "is_repeat")]
     pub is_retry: bool,
-    /// Whether the answer should name every service that the subtree touched.
+    /// Whether the answer should name all services that the subtree reached.
     pub wants_services: bool,
-    /// Calls a second that the caller may make to the service, over all nodes;
-    /// 0 if it has no limit.
+    /// Rate limit of the caller at the service, over all nodes, in calls per second; 0 if
+    /// there is none.
     pub caller_limit_per_s: u32,
-    /// Calls between the entry and this one.
+    /// Number of calls between the entry and this one.
     pub depth_count: u8,
-    /// What identifies the request across resends.
+    /// Fingerprint of the request, the same across resends.
     pub fingerprint: Fingerprint,
     /// Whether running the call twice has the effect of running it once.
     pub is_idempotent: bool,
-    /// Set when the call goes to the home of an operation, not to a gate.
+    /// Set if the call is sent to the home of an operation instead of a gate.
     pub operation: Option<OperationRef>,
     /// Incarnation of the sending node.
     pub sender_incarnation: Incarnation,
-    /// Number of the attempt at the sending node; the answer repeats it.
+    /// Sequence number of the attempt at the sending node; repeated in the answer.
     pub attempt: Sequence,
 }
 
@@ -57,7 +57,7 @@
     /// Name of the HTTP header that carries the context.
     pub const HEADER: &'static str = "kumquatquay-context";
 
-    /// Importance given at the entry.
+    /// Returns the importance assigned at the entry.
     pub fn importance(&self) -> Importance {
         Importance::new(self.class, self.cohort)
     }
--- a/crates/kumquatquay-wire/src/routed/configuration.rs
+++ b/crates/kumquatquay-wire/src/routed/configuration.rs
@@ -25,9 +25,9 @@
     /// Number of answers of the store in that era that the node knows of, to itself or to other
     /// nodes.
     pub store_answers_count: u64,
-    /// Age of the freshness proof, in milliseconds: how long ago that configuration was provably
-    /// the newest. `None` if there is no proof. It is valid only in the answer to a question, and
-    /// relative to the time at which the question was sent.
+    /// Age of the freshness proof, in milliseconds: how long ago that configuration was
+    /// provably the newest. `None` if there is no proof. It is valid only in the answer to a
+    /// question, and relative to the time at which the question was sent.
     pub proof_age_ms: Option<u32>,
     /// Largest number of nodes that it has known at the same time, including itself.
     pub nodes_count: u32,
--- a/crates/kumquatquay-wire/src/routed/frame.rs
+++ b/crates/kumquatquay-wire/src/routed/frame.rs
@@ -149,8 +149,8 @@
     /// Rate limit that the backend server reported to this sender, for a gate that lost it in a
     /// restart.
     pub known_limit: Option<KnownLimit>,
-    /// Whether it runs even if the backend server is failing, because another attempt was already
-    /// refused for that reason.
+    /// Whether it runs even if the backend server is failing, because another attempt was
+    /// already refused for that reason.
     pub accepts_failing: bool,
     /// Time left until its deadline, in milliseconds.
     pub remaining_ms: u64,
@@ -313,8 +313,8 @@
 }
 
 impl<'a> Frame<'a> {
-    /// Parses the frame at the start of the bytes. Returns it with its length, or `None` if it is
-    /// incomplete.
+    /// Parses the frame at the start of the bytes. Returns it with its length, or `None` if it
+    /// is incomplete.
     fn parse_first(bytes: &'a [u8]) -> Result<Option<(Self, usize)>, WireError> {
         let lengths = [0, 4, 8].map(|offset| length_at(bytes, offset));
         let [Some(frame_bytes), Some(head_bytes), Some(fields_bytes)] = lengths else {
--- a/crates/kumquatquay-wire/src/routed/mod.rs
+++ b/crates/kumquatquay-wire/src/routed/mod.rs
@@ -1,9 +1,9 @@
 //! Messages between nodes about calls on configured routes.
 //!
 //! Two nodes are connected by a few links: TCP connections that multiplex the frames of many
-//! calls. A frame starts with the length of the frame, of its head and of its header fields, each
-//! as four bytes, little endian. The head follows, encoded with `postcard`, then the unencoded
-//! fields and body:
+//! calls. A frame starts with the length of the frame, of its head and of its header fields,
+//! each as four bytes, little endian. The head follows, encoded with `postcard`, then the
+//! unencoded fields and body:
 //!
 //! ```text
 //! length: u32 | head length: u32 | fields length: u32 | head | fields | body
--- a/crates/kumquatquay-wire/src/routed/route_estimate.rs
+++ b/crates/kumquatquay-wire/src/routed/route_estimate.rs
@@ -41,8 +41,8 @@
 
     /// Adds another demand at the same service.
     ///
-    /// If the slot time of one isn't known, its calls are assumed to take as long as those of the
-    /// other.
+    /// If the slot time of one isn't known, its calls are assumed to take as long as those of
+    /// the other.
     #[must_use]
     pub fn combine(&self, other: &Self) -> Self {
         let calls = self.calls + other.calls;
--- a/crates/kumquatquay-wire/src/size.rs
+++ b/crates/kumquatquay-wire/src/size.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// Bytes of a value's encoding, without building it.
+/// Computes the encoded size of a value in bytes, without encoding it.
 pub(crate) fn encoded_bytes<T: Serialize>(value: &T) -> usize {
     postcard::experimental::serialized_size(value).expect("a wire type always encodes")
 }
