--- a/crates/kumquatquay-cli/src/render/plan.rs
+++ b/crates/kumquatquay-cli/src/render/plan.rs
@@ -1,6 +1,6 @@
 //! Plans as text.
 
-use kumquatquay_wire::{CallerLoad, PlacePlan, Plan, ServicePlan};
+use kumquatquay_wire::{CallerLoad, DataCentrePlan, Plan, ServicePlan};
 
 use super::style::Style;
 
@@ -31,7 +31,7 @@
     for difference in &service.differences {
         text += &format!("  {difference}\n");
     }
-    for place in &service.places {
+    for place in &service.data_centres {
         text += &place_text(place);
     }
     text += &format!(
@@ -45,7 +45,7 @@
     text
 }
 
-fn place_text(place: &PlacePlan) -> String {
+fn place_text(place: &DataCentrePlan) -> String {
     let hosts = place.hosts.len();
     let mut text = format!(
         "  in {}: {hosts} hosts with {} slots: {}\n",
--- a/crates/kumquatquay-cli/src/render/status.rs
+++ b/crates/kumquatquay-cli/src/render/status.rs
@@ -31,7 +31,7 @@
 }
 
 fn laggard_text(laggard: &Laggard) -> String {
-    let has = match (laggard.version, laggard.heard_ms_ago) {
+    let has = match (laggard.version, laggard.last_report_age_ms) {
         (Some(version), Some(ago_ms)) => format!("had version {version} {} s ago", ago_ms / 1_000),
         _ => String::from("has not told its version"),
     };
--- a/crates/kumquatquay-core/src/configuration/planner.rs
+++ b/crates/kumquatquay-core/src/configuration/planner.rs
@@ -3,8 +3,9 @@
 use std::{cmp::Reverse, collections::BTreeMap};
 
 use kumquatquay_wire::{
-    CallerLoad, ChangeId, ConfigurationChange, ConfigurationRecord, ConfigurationVersion, Intent,
-    IntentChange, IntentEdit, MemberState, OperatorReply, PlacePlan, Plan, SealedPlan, ServicePlan,
+    CallerLoad, ChangeId, ConfigurationChange, ConfigurationRecord, ConfigurationVersion,
+    DataCentrePlan, Intent, IntentChange, IntentEdit, MemberState, OperatorReply, Plan, SealedPlan,
+    ServicePlan,
 };
 use rand::Rng;
 
@@ -144,7 +145,7 @@
     ServicePlan {
         service: edit.service.clone(),
         differences: differences(before, after),
-        places: places(board, &edit.service),
+        data_centres: places(board, &edit.service),
         load: load(board, &edit.service, before, after),
         refusal_order_before: refusal_order(before),
         refusal_order_after: refusal_order(after),
@@ -153,17 +154,17 @@
     }
 }
 
-pub(super) fn places(board: &Blackboard, service: &str) -> Vec<PlacePlan> {
-    let mut places: BTreeMap<&str, PlacePlan> = BTreeMap::new();
+pub(super) fn places(board: &Blackboard, service: &str) -> Vec<DataCentrePlan> {
+    let mut places: BTreeMap<&str, DataCentrePlan> = BTreeMap::new();
     for member in board.members.iter() {
         if member.service.as_deref() != Some(service) || member.state == MemberState::Gone {
             continue;
         }
         let place = places
             .entry(&member.data_centre)
-            .or_insert_with(|| PlacePlan {
+            .or_insert_with(|| DataCentrePlan {
                 data_centre: member.data_centre.clone(),
-                ..PlacePlan::default()
+                ..DataCentrePlan::default()
             });
         let hosts = match member.is_suspect {
             true => &mut place.unreachable_hosts,
@@ -232,12 +233,12 @@
     let mut unknowns = board.configuration.doubts();
     for service in services {
         let name = &service.service;
-        if service.places.is_empty() {
+        if service.data_centres.is_empty() {
             unknowns.push(format!(
                 "{name}: no backend server of it is known to this node"
             ));
         }
-        for place in &service.places {
+        for place in &service.data_centres {
             let count = place.unreachable_hosts.len();
             if count > 0 {
                 unknowns.push(format!(
--- a/crates/kumquatquay-core/src/configuration/status.rs
+++ b/crates/kumquatquay-core/src/configuration/status.rs
@@ -84,7 +84,7 @@
         control: member.control.to_string(),
         data_centre: member.data_centre.clone(),
         version: known_version(board, member),
-        heard_ms_ago: report.map(|report| ms_since(report.reported_at)),
+        last_report_age_ms: report.map(|report| ms_since(report.reported_at)),
         behind_ms: ms_since(board.configuration.in_force_since),
         is_unreachable: member.is_suspect,
     }
--- a/crates/kumquatquay-core/tests/configuration/scenarios.rs
+++ b/crates/kumquatquay-core/tests/configuration/scenarios.rs
@@ -118,7 +118,7 @@
             for difference in &service.differences {
                 writeln!(lines, "{}: {difference}", service.service).unwrap();
             }
-            for place in &service.places {
+            for place in &service.data_centres {
                 let hosts = place.hosts.len();
                 let unreachable = place.unreachable_hosts.len();
                 let name = &place.data_centre;
--- a/crates/kumquatquay-wire/src/lib.rs
+++ b/crates/kumquatquay-wire/src/lib.rs
@@ -46,8 +46,8 @@
 pub use key::MeshKey;
 pub use operation_ref::OperationRef;
 pub use operator::{
-    CallerLoad, ConfigurationStatus, Conflict, Explanation, Finding, IntentEdit, Laggard,
-    OperatorCommand, OperatorReply, PlacePlan, Plan, RefusalRecord, ServicePlan,
+    CallerLoad, ConfigurationStatus, Conflict, DataCentrePlan, Explanation, Finding, IntentEdit,
+    Laggard, OperatorCommand, OperatorReply, Plan, RefusalRecord, ServicePlan,
 };
 pub use outcome::Outcome;
 pub use request_context::RequestContext;
--- a/crates/kumquatquay-wire/src/operator/mod.rs
+++ b/crates/kumquatquay-wire/src/operator/mod.rs
@@ -11,5 +11,5 @@
 pub use finding::Finding;
 pub use operator_command::{IntentEdit, OperatorCommand};
 pub use operator_reply::{Conflict, OperatorReply};
-pub use plan::{CallerLoad, PlacePlan, Plan, ServicePlan};
+pub use plan::{CallerLoad, DataCentrePlan, Plan, ServicePlan};
 pub use status::{ConfigurationStatus, Laggard};
--- a/crates/kumquatquay-wire/src/operator/plan.rs
+++ b/crates/kumquatquay-wire/src/operator/plan.rs
@@ -35,7 +35,8 @@
     /// What changes, a line each; empty if nothing does.
     pub differences: Vec<String>,
     /// Where its backend servers are.
-    pub places: Vec<PlacePlan>,
+    #[serde(rename = "places")]
+    pub data_centres: Vec<DataCentrePlan>,
     /// The callers that the node saw in the last 10 s, in the order in which
     /// they would be refused.
     pub load: Vec<CallerLoad>,
@@ -47,7 +48,7 @@
 
 /// The backend servers of one service in one data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacePlan {
+pub struct DataCentrePlan {
     /// The data centre.
     pub data_centre: DataCentreName,
     /// Hosts that take the change, by control address.
--- a/crates/kumquatquay-wire/src/operator/status.rs
+++ b/crates/kumquatquay-wire/src/operator/status.rs
@@ -41,7 +41,8 @@
     /// The version that it named last.
     pub version: Option<ConfigurationVersion>,
     /// Time since it named one, in milliseconds; `None` if it never did.
-    pub heard_ms_ago: Option<u64>,
+    #[serde(rename = "heard_ms_ago")]
+    pub last_report_age_ms: Option<u64>,
     /// Time since the answering node has the version in force, in milliseconds.
     pub behind_ms: u64,
     /// Whether it is suspected of being dead or cut off.
