--- a/crates/kumquatquay-core/src/configuration/configuration_state.rs
+++ b/crates/kumquatquay-core/src/configuration/configuration_state.rs
@@ -32,8 +32,9 @@
     entries: BTreeMap<ServiceName, IntentEntry>,
     history: VecDeque<AcceptedChange>,
     /// The history has all accepted changes after this offset; all changes ever if `None`. After
-    /// an operator has started the configuration over, the history is incomplete. Without this
-    /// offset another node would conclude from it that it had missed no change.
+    /// an operator has started the configuration over, the history may be empty although changes
+    /// were made. Without this offset a node that lags behind would conclude that it has missed
+    /// none.
     history_after: Option<LogOffset>,
 }
 
@@ -178,8 +179,8 @@
             replaced,
         });
         while self.history.len() > HISTORY_LIMIT_COUNT {
-            let forgotten = self.history.pop_front();
-            self.history_after = forgotten.map(|accepted| accepted.version);
+            let evicted = self.history.pop_front();
+            self.history_after = evicted.map(|accepted| accepted.version);
         }
     }
 
@@ -264,7 +265,8 @@
 
 /// Whether the change names at least one service and none of them twice.
 ///
-/// The second intent of a service would replace the first one although its base is older.
+/// If a service were named twice, the second intent would replace the first one although that is
+/// not its base.
 fn names_distinct_services(change: &ConfigurationChange) -> bool {
     let mut names: Vec<&str> = change
         .intents
--- a/crates/kumquatquay-core/src/configuration/differences.rs
+++ b/crates/kumquatquay-core/src/configuration/differences.rs
@@ -4,15 +4,15 @@
 
 /// The differences between two intents, one line each; empty if there are none.
 pub(crate) fn differences(before: Option<&Intent>, after: Option<&Intent>) -> Vec<String> {
-    let nothing = Intent::default();
+    let empty = Intent::default();
     let mut lines = Vec::new();
     match (before, after) {
         (None, Some(_)) => lines.push(String::from("gets its first intent")),
         (Some(_), None) => lines.push(String::from("loses its intent; nobody is protected")),
         _ => {}
     }
-    let before = before.unwrap_or(&nothing);
-    let after = after.unwrap_or(&nothing);
+    let before = before.unwrap_or(&empty);
+    let after = after.unwrap_or(&empty);
     compare_priorities(before, after, &mut lines);
     compare_limits(before, after, &mut lines);
     compare_idempotency(before, after, &mut lines);
--- a/crates/kumquatquay-core/src/configuration/findings.rs
+++ b/crates/kumquatquay-core/src/configuration/findings.rs
@@ -168,12 +168,12 @@
         .into_iter()
         .filter(|caller| !names.callers.contains(*caller));
     let near = unknown.filter_map(|caller| Some((caller, nearest(caller, &names.callers)?)));
-    near.filter(|(caller, near)| letters(caller) != letters(near))
+    near.filter(|(caller, near)| without_digits(caller) != without_digits(near))
         .collect()
 }
 
 /// A name without its digits, by which `bot-2` is not taken for a misspelling of `bot-1`.
-fn letters(name: &str) -> String {
+fn without_digits(name: &str) -> String {
     name.chars()
         .filter(|character| !character.is_ascii_digit())
         .collect()
--- a/crates/kumquatquay-core/src/configuration/log_reading.rs
+++ b/crates/kumquatquay-core/src/configuration/log_reading.rs
@@ -17,7 +17,7 @@
 /// How long the log may hold an empty answer to a follower that is caught up (long poll).
 const LONG_POLL_WAIT: Duration = Duration::from_secs(5);
 
-/// The same for any node while a confirmation is under way, for which an operator waits.
+/// The same while this node has a confirmation under way, for whose outcome an operator waits.
 const CONFIRMATION_LONG_POLL_WAIT: Duration = Duration::from_millis(200);
 
 /// Bounds of the read timeout, which begins when the long poll ends.
@@ -41,14 +41,14 @@
 /// Pause between reads while the stream has a [`LogFault`].
 const FAULT_PAUSE: Duration = Duration::from_secs(2);
 
-/// Mean time between reads of a node that is no follower of the log.
+/// Mean time between reads of a node that is not a follower of the log.
 ///
 /// These reads are the fallback for a silent failure of gossip. 5,100 nodes make 85 of them a
 /// second, mostly with an empty answer.
 const POLL_INTERVAL_S: u64 = 60;
 
 /// How long a node without a configuration waits for an answer of another node before it reads
-/// the log, so that not each of 470 replaced nodes a day reads the whole stream.
+/// the log, so that the 470 nodes replaced per day don't all read the whole stream.
 const PEER_FETCH_HEAD_START: Duration = Duration::from_millis(500);
 
 /// How long a node that knows of a later version tries to fetch it from other nodes before it
@@ -217,7 +217,8 @@
     }
 }
 
-/// Whether the log was restored from a backup since its last answer.
+/// Returns whether the log was restored from a backup since its last answer; if so, resets the
+/// progress of the reads.
 ///
 /// It may now hold other records at the offsets that this node has read, so the last record read
 /// is verified before further ones are applied.
--- a/crates/kumquatquay-core/src/configuration/peer_fetch.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_fetch.rs
@@ -308,8 +308,8 @@
     }
 }
 
-/// Clears `behind_since` if this node has the latest version that was reported, or has
-/// just read to the end of the log, which is authoritative.
+/// Clears `behind_since` if this node has the latest version that was reported, or has just read to
+/// the end of the log, which is authoritative.
 pub(super) fn clear_behind(board: &mut Blackboard, is_at_end_of_log: bool) {
     let version = board.configuration.version();
     let fetch = &mut board.configuration.peer_fetch;
--- a/crates/kumquatquay-core/src/configuration/peer_versions.rs
+++ b/crates/kumquatquay-core/src/configuration/peer_versions.rs
@@ -26,7 +26,7 @@
     board.configuration.version()
 }
 
-/// Records the version in force at another node, and fetches it if this node is behind.
+/// Records the version in force at another node, and asks that node for it if this node is behind.
 pub(crate) fn on_peer_version(
     board: &mut Blackboard,
     now: Moment,
