--- a/crates/kumquatquay-core/src/call/attempt.rs
+++ b/crates/kumquatquay-core/src/call/attempt.rs
@@ -33,7 +33,7 @@
     };
     match step {
         OperationStep::Proceed => start_attempt(board, now, id, None, out),
-        OperationStep::SendHome(home) => start_attempt(board, now, id, Some(home), out),
+        OperationStep::ForwardToHome(home) => start_attempt(board, now, id, Some(home), out),
         OperationStep::Finish(ending) => finish(board, now, id, ending, out),
         OperationStep::Wait => {}
     }
--- a/crates/kumquatquay-core/src/operations/claim.rs
+++ b/crates/kumquatquay-core/src/operations/claim.rs
@@ -107,7 +107,7 @@
 
 /// An event with its place in the stream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PlacedEvent {
+pub(crate) struct LoggedEvent {
     /// When the log took it, in milliseconds since the Unix epoch.
     pub(crate) appended_unix_ms: u64,
     /// The event.
--- a/crates/kumquatquay-core/src/operations/claim_decision.rs
+++ b/crates/kumquatquay-core/src/operations/claim_decision.rs
@@ -16,23 +16,23 @@
 
 /// Decides the sent claims by what was read. What is missing is appended again
 /// after a pause: a log that loses answers would get copies without end.
-pub(super) fn settle(board: &mut Blackboard, now: Moment, id: PartitionId) {
-    drop_given_up(board, id);
+pub(super) fn decide_batch(board: &mut Blackboard, now: Moment, id: PartitionId) {
+    drop_abandoned(board, id);
     let partition = partition_mut(board, id);
     let Some(view) = &partition.view else {
         return;
     };
-    let is_placed = |event: &ClaimEvent| view.find(event).is_some();
-    let (placed, missing) = partition.in_flight.iter().copied().partition(is_placed);
-    let placed: ClaimBatch = placed;
+    let is_logged = |event: &ClaimEvent| view.find(event).is_some();
+    let (logged, missing) = partition.in_flight.iter().copied().partition(is_logged);
+    let logged: ClaimBatch = logged;
     partition.in_flight = missing;
     partition.read_target = None;
     if partition.in_flight.is_empty() {
-        partition.is_unsure = false;
+        partition.is_append_outcome_unknown = false;
     } else {
         partition.retry_at = now.monotonic + RETRY_INTERVAL;
     }
-    for claim in placed.iter().filter_map(claim_of) {
+    for claim in logged.iter().filter_map(claim_of) {
         decide(board, id, claim);
     }
 }
@@ -42,10 +42,10 @@
         return;
     };
     let event = ClaimEvent::Claim(*claim);
-    let placed = view.find(&event);
-    let appended = placed.map_or(u64::MAX, |placed| placed.appended_unix_ms);
+    let logged = view.find(&event);
+    let appended = logged.map_or(u64::MAX, |logged| logged.appended_unix_ms);
     if let Err(error) = check_window(claim.key_unix_ms, appended) {
-        give_up(
+        abandon(
             board,
             claim.id.sequence,
             Some(&refusals::invalid_key(error)),
@@ -59,14 +59,14 @@
 }
 
 /// Gives up every undecided claim of a partition.
-pub(super) fn give_up_all(board: &mut Blackboard, id: PartitionId, ending: &CallEnding) {
+pub(super) fn abandon_all(board: &mut Blackboard, id: PartitionId, ending: &CallEnding) {
     let partition = partition_mut(board, id);
     let events = partition.queue.iter().chain(&partition.in_flight);
     let claims: Vec<Claim> = events.filter_map(claim_of).copied().collect();
     for claim in claims {
-        give_up(board, claim.id.sequence, Some(ending));
+        abandon(board, claim.id.sequence, Some(ending));
     }
-    drop_given_up(board, id);
+    drop_abandoned(board, id);
     let partition = partition_mut(board, id);
     if partition.in_flight.is_empty() {
         finish_batch(partition);
@@ -77,7 +77,7 @@
 ///
 /// A claim that may be in the log is released there, so that the key isn't
 /// held by a claimant that will not run it.
-pub(crate) fn give_up(board: &mut Blackboard, sequence: Sequence, ending: Option<&CallEnding>) {
+pub(crate) fn abandon(board: &mut Blackboard, sequence: Sequence, ending: Option<&CallEnding>) {
     let table = &mut board.operations;
     let Some(operation) = table.memory.get_mut(sequence) else {
         return;
@@ -88,7 +88,7 @@
     if operation.state != OperationState::Claiming {
         return;
     }
-    operation.state = OperationState::GivenUp;
+    operation.state = OperationState::Abandoned;
     let waiting = std::mem::take(&mut operation.waiting);
     for call in waiting {
         if let Some(ending) = ending {
@@ -123,7 +123,7 @@
     if operation.state != OperationState::Claiming {
         return;
     }
-    operation.state = OperationState::GivenUp;
+    operation.state = OperationState::Abandoned;
     let waiting = std::mem::take(&mut operation.waiting);
     table.resumed.extend(waiting);
     table.by_key.remove(&claim.key);
@@ -152,11 +152,11 @@
 pub(super) fn finish_batch(partition: &mut ClaimPartition) {
     partition.in_flight.clear();
     partition.read_target = None;
-    partition.is_unsure = false;
+    partition.is_append_outcome_unknown = false;
 }
 
 /// Forgets sent claims that were given up; their releases are in the queue.
-pub(super) fn drop_given_up(board: &mut Blackboard, id: PartitionId) {
+pub(super) fn drop_abandoned(board: &mut Blackboard, id: PartitionId) {
     let table = &mut board.operations;
     let Some(partition) = table.partitions.get_mut(&id) else {
         return;
--- a/crates/kumquatquay-core/src/operations/claim_partition.rs
+++ b/crates/kumquatquay-core/src/operations/claim_partition.rs
@@ -27,7 +27,7 @@
     pub(crate) read_target: Option<ReadTarget>,
     /// Whether the answer to an append of `in_flight` was lost, so that a copy
     /// of it may be in the stream or still land there.
-    pub(crate) is_unsure: bool,
+    pub(crate) is_append_outcome_unknown: bool,
     /// Whether to read on although nothing waits for it.
     pub(crate) wants_refresh: bool,
     /// No request is sent before this, on the monotonic clock.
@@ -53,7 +53,7 @@
     /// Appends `in_flight`.
     Appending,
     /// Reads what follows the view.
-    ReadingOn,
+    ReadingForward,
 }
 
 /// The end of a stream that is being read for the first time.
--- a/crates/kumquatquay-core/src/operations/claim_reading.rs
+++ b/crates/kumquatquay-core/src/operations/claim_reading.rs
@@ -4,17 +4,17 @@
 
 use super::{
     claim::{PartitionId, stream_name},
-    claim_decision::{give_up_all, settle},
+    claim_decision::{abandon_all, decide_batch},
     claim_partition::{Exchange, Loading, ReadTarget},
     claim_view::ClaimView,
-    claims::{needed_since, on_failure, partition_mut, read_on, start_read},
+    claims::{needed_since, on_failure, partition_mut, read_forward, start_read},
     idempotency_key::{CLAIM_WINDOW, CLOCK_SKEW_LIMIT},
     refusals,
 };
 use crate::{Blackboard, LogRecord, Moment, Note, Output, Severity};
 
 /// Records that are read back at first.
-const LOAD_FIRST_COUNT: u64 = 64;
+const INITIAL_LOAD_COUNT: u64 = 64;
 
 /// How much further each next reading goes back.
 const LOAD_GROWTH: u64 = 4;
@@ -43,14 +43,14 @@
             load(
                 board,
                 id,
-                LOAD_FIRST_COUNT,
+                INITIAL_LOAD_COUNT,
                 read.oldest_offset,
                 read.next_offset,
                 out,
             );
         }
         Exchange::Loading(loading) => on_loaded(board, now, id, loading, read, out),
-        Exchange::ReadingOn => on_read_on(board, now, id, &read, out),
+        Exchange::ReadingForward => on_read_forward(board, now, id, &read, out),
         Exchange::Idle | Exchange::Appending => {}
     }
 }
@@ -99,15 +99,15 @@
     let Some(needed) = needed_since(partition_mut(board, id)) else {
         return;
     };
-    let is_whole = loading.from <= read.oldest_offset;
+    let is_complete = loading.from <= read.oldest_offset;
     let first_unix_ms = loading
         .records
         .first()
         .map_or(u64::MAX, |first| first.appended_unix_ms);
     let count = loading.until - loading.from;
-    if !is_whole && first_unix_ms >= needed {
+    if !is_complete && first_unix_ms >= needed {
         if count >= LOAD_LIMIT_COUNT {
-            give_up_all(board, id, &refusals::busy());
+            abandon_all(board, id, &refusals::busy());
             return;
         }
         load(
@@ -120,7 +120,7 @@
         );
         return;
     }
-    let covers_since = if is_whole { 0 } else { first_unix_ms + 1 };
+    let covers_since = if is_complete { 0 } else { first_unix_ms + 1 };
     let mut view = ClaimView::new(loading.from, covers_since);
     view.extend(&board.settings.key, &loading.records);
     view.next_offset = view.next_offset.max(loading.until);
@@ -129,7 +129,7 @@
     partition.view = Some(view);
 }
 
-fn on_read_on(
+fn on_read_forward(
     board: &mut Blackboard,
     now: Moment,
     id: PartitionId,
@@ -154,17 +154,17 @@
     if is_reached {
         partition.read_at = now.monotonic;
         partition.wants_refresh = false;
-        settle(board, now, id);
+        decide_batch(board, now, id);
     } else if read.records.is_empty() {
         on_failure(board, now, id, out);
     } else {
-        read_on(board, id, out);
+        read_forward(board, id, out);
     }
 }
 
 /// The log came back from a copy. Claims of any key may be lost, of streams too that this node
 /// never read, so all keys are refused until their windows have passed; issued ids still work.
-pub(crate) fn on_log_returned(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
+pub(crate) fn on_log_restored(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let table = &mut board.operations;
     table.claims_lost_until = now.monotonic + CLAIM_WINDOW + 2 * CLOCK_SKEW_LIMIT;
     // What is under way was asked of the log as it was.
@@ -175,7 +175,7 @@
         partition.exchange = Exchange::Idle;
         partition.view = None;
         partition.wants_refresh = false;
-        give_up_all(board, id, &refusals::log_incomplete());
+        abandon_all(board, id, &refusals::log_incomplete());
     }
     let detail = "the log came back from an older copy; callers' keys are refused for 14 minutes, \
                   since claims may be lost; issued ids still work";
@@ -194,7 +194,7 @@
     partition.view = None;
     partition.wants_refresh = false;
     partition.refused_until = now.monotonic + CLAIM_WINDOW + 2 * CLOCK_SKEW_LIMIT;
-    give_up_all(board, id, &refusals::log_incomplete());
+    abandon_all(board, id, &refusals::log_incomplete());
     let detail = format!(
         "{} lost records; its keys are refused for 14 minutes",
         stream_name(id)
--- a/crates/kumquatquay-core/src/operations/claim_view.rs
+++ b/crates/kumquatquay-core/src/operations/claim_view.rs
@@ -5,7 +5,7 @@
 use kumquatquay_wire::{LogOffset, MeshKey};
 
 use super::{
-    claim::{Claim, ClaimEvent, ClaimId, PlacedEvent, decode_batch},
+    claim::{Claim, ClaimEvent, ClaimId, LoggedEvent, decode_batch},
     digest::KeyDigest,
     idempotency_key::{CLAIM_WINDOW, CLOCK_SKEW_LIMIT, check_window},
 };
@@ -23,7 +23,7 @@
     pub(crate) covers_since_unix_ms: u64,
     /// When the log took the newest record seen.
     newest_unix_ms: u64,
-    events: BTreeMap<KeyDigest, Vec<PlacedEvent>>,
+    events: BTreeMap<KeyDigest, Vec<LoggedEvent>>,
     events_count: usize,
 }
 
@@ -65,7 +65,7 @@
                 continue;
             };
             for event in batch {
-                self.push(PlacedEvent {
+                self.push(LoggedEvent {
                     appended_unix_ms: record.appended_unix_ms,
                     event,
                 });
@@ -74,9 +74,9 @@
         self.trim();
     }
 
-    fn push(&mut self, placed: PlacedEvent) {
-        let events = self.events.entry(placed.event.key()).or_default();
-        events.push(placed);
+    fn push(&mut self, logged: LoggedEvent) {
+        let events = self.events.entry(logged.event.key()).or_default();
+        events.push(logged);
         self.events_count += 1;
     }
 
@@ -90,7 +90,7 @@
         if bound <= self.covers_since_unix_ms + TRIM_INTERVAL_MS {
             return;
         }
-        let is_old = |events: &[PlacedEvent]| {
+        let is_old = |events: &[LoggedEvent]| {
             events
                 .last()
                 .is_none_or(|last| last.appended_unix_ms < bound)
@@ -101,9 +101,9 @@
     }
 
     /// The first place of an event.
-    pub(crate) fn find(&self, event: &ClaimEvent) -> Option<&PlacedEvent> {
+    pub(crate) fn find(&self, event: &ClaimEvent) -> Option<&LoggedEvent> {
         let events = self.events.get(&event.key())?;
-        events.iter().find(|placed| placed.event == *event)
+        events.iter().find(|logged| logged.event == *event)
     }
 
     /// Who may run the operation of a key.
@@ -115,10 +115,10 @@
     pub(crate) fn holder(&self, key: &KeyDigest) -> Holder {
         let mut holder = Holder::Nobody;
         let mut released: Vec<ClaimId> = Vec::new();
-        for placed in self.events.get(key).map_or(&[][..], Vec::as_slice) {
-            match placed.event {
+        for logged in self.events.get(key).map_or(&[][..], Vec::as_slice) {
+            match logged.event {
                 ClaimEvent::Claim(claim) => {
-                    let is_valid = check_window(claim.key_unix_ms, placed.appended_unix_ms).is_ok();
+                    let is_valid = check_window(claim.key_unix_ms, logged.appended_unix_ms).is_ok();
                     let is_free = holder == Holder::Nobody;
                     if is_free && is_valid && !released.contains(&claim.id) {
                         holder = Holder::Claim(claim);
--- a/crates/kumquatquay-core/src/operations/claims.rs
+++ b/crates/kumquatquay-core/src/operations/claims.rs
@@ -11,7 +11,7 @@
 
 use super::{
     claim::{ClaimBatch, ClaimEvent, PartitionId, encode_batch, stream_name},
-    claim_decision::{claim_of, drop_given_up, finish_batch, give_up_all, lose, win},
+    claim_decision::{abandon_all, claim_of, drop_abandoned, finish_batch, lose, win},
     claim_partition::{ClaimPartition, Exchange, ReadTarget},
     claim_reading::{ReadResult, on_read},
     claim_view::Holder,
@@ -34,10 +34,10 @@
 const RETRY_DOUBLINGS_LIMIT_COUNT: u32 = 5;
 
 /// How long claims wait for a log that fails before they are given up.
-const LOG_PATIENCE: Duration = Duration::from_secs(1);
+const LOG_FAILURE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long keys are refused after a log that failed was last asked.
-const LOG_REFUSED_FOR: Duration = Duration::from_secs(1);
+const LOG_DOWN_DURATION: Duration = Duration::from_secs(1);
 
 /// An offset beyond every record: reading from it tells where the stream ends.
 const BEYOND_END: LogOffset = 1 << 62;
@@ -51,14 +51,14 @@
     }
     if !partition.in_flight.is_empty() {
         match (partition.read_target, &partition.view) {
-            (Some(_), Some(_)) => read_on(board, id, out),
+            (Some(_), Some(_)) => read_forward(board, id, out),
             _ => append(board, id, out),
         }
         return;
     }
     if partition.queue.is_empty() {
         if partition.wants_refresh && partition.view.is_some() {
-            read_on(board, id, out);
+            read_forward(board, id, out);
         }
         return;
     }
@@ -120,13 +120,13 @@
     partition_mut(board, id).exchange = Exchange::Probing;
 }
 
-pub(super) fn read_on(board: &mut Blackboard, id: PartitionId, out: &mut Vec<Output>) {
+pub(super) fn read_forward(board: &mut Blackboard, id: PartitionId, out: &mut Vec<Output>) {
     let Some(view) = &partition_mut(board, id).view else {
         return;
     };
     let from = view.next_offset;
     start_read(board, id, from, out);
-    partition_mut(board, id).exchange = Exchange::ReadingOn;
+    partition_mut(board, id).exchange = Exchange::ReadingForward;
 }
 
 pub(super) fn start_read(
@@ -168,7 +168,7 @@
     match input {
         LogInput::Appended { offset, .. } => on_appended(board, id, offset),
         LogInput::AppendRefused { .. } => on_append_refused(board, now, id, out),
-        LogInput::AppendOutcomeUnknown { .. } => on_append_unsure(board, now, id, out),
+        LogInput::AppendOutcomeUnknown { .. } => on_append_outcome_unknown(board, now, id, out),
         LogInput::ReadFailed { .. } => on_failure(board, now, id, out),
         LogInput::Read { era, .. } if board.operations.log_eras.is_past(era) => {
             on_failure(board, now, id, out);
@@ -204,7 +204,7 @@
 fn on_success(board: &mut Blackboard) {
     board.operations.log_failing_since = None;
     board.operations.log_failures_count = 0;
-    board.operations.log_refused_until = Duration::ZERO;
+    board.operations.log_down_until = Duration::ZERO;
 }
 
 fn on_appended(board: &mut Blackboard, id: PartitionId, offset: LogOffset) {
@@ -215,7 +215,7 @@
             win(board, claim.id.sequence);
         }
     }
-    drop_given_up(board, id);
+    drop_abandoned(board, id);
     let partition = partition_mut(board, id);
     if partition
         .in_flight
@@ -231,7 +231,7 @@
 /// The record is not in the stream, unless an earlier copy may be.
 fn on_append_refused(board: &mut Blackboard, now: Moment, id: PartitionId, out: &mut Vec<Output>) {
     let partition = partition_mut(board, id);
-    if partition.is_unsure {
+    if partition.is_append_outcome_unknown {
         partition.read_target = Some(ReadTarget::End);
     } else {
         let events = std::mem::take(&mut partition.in_flight);
@@ -244,9 +244,14 @@
 
 /// The record may be in the stream: read on, and append it again if it isn't.
 /// A copy that lands late is harmless, since it names the same claim.
-fn on_append_unsure(board: &mut Blackboard, now: Moment, id: PartitionId, out: &mut Vec<Output>) {
+fn on_append_outcome_unknown(
+    board: &mut Blackboard,
+    now: Moment,
+    id: PartitionId,
+    out: &mut Vec<Output>,
+) {
     let partition = partition_mut(board, id);
-    partition.is_unsure = true;
+    partition.is_append_outcome_unknown = true;
     partition.read_target = Some(ReadTarget::End);
     if partition.in_flight.is_empty() {
         finish_batch(partition);
@@ -269,15 +274,15 @@
     let since = *table.log_failing_since.get_or_insert(now.monotonic);
     partition_mut(board, id).retry_at = now.monotonic + RETRY_INTERVAL;
     let table = &mut board.operations;
-    if now.monotonic - since < LOG_PATIENCE {
+    if now.monotonic - since < LOG_FAILURE_TIMEOUT {
         return;
     }
-    table.log_refused_until = now.monotonic + LOG_REFUSED_FOR;
+    table.log_down_until = now.monotonic + LOG_DOWN_DURATION;
     out.push(Output::Note(Note::warn(
         "claims_refused",
         "the log does not answer; keys of callers are refused, issued ids still work",
     )));
-    give_up_all(board, id, &refusals::log_down());
+    abandon_all(board, id, &refusals::log_down());
 }
 
 /// Goes on with partitions whose pause after a failure is over.
@@ -291,7 +296,7 @@
         .map(|(id, partition)| (partition.retry_at, *id))
         .collect();
     if board.operations.log_failing_since.is_some() {
-        keep_one_of_failing_log(board, now, &mut waiting);
+        limit_retries_of_failing_log(board, now, &mut waiting);
     }
     for (_, id) in waiting {
         advance(board, now, id, out);
@@ -300,7 +305,7 @@
 
 /// While the log fails one partition at a time asks it, less and less often:
 /// all nodes ask, and a log that comes back would meet their backlog at once.
-fn keep_one_of_failing_log(
+fn limit_retries_of_failing_log(
     board: &mut Blackboard,
     now: Moment,
     waiting: &mut Vec<(Duration, PartitionId)>,
--- a/crates/kumquatquay-core/src/operations/controller.rs
+++ b/crates/kumquatquay-core/src/operations/controller.rs
@@ -50,19 +50,21 @@
     let step = if let Some(operation) = &call.home {
         home::step(board, now, call, operation)
     } else if let Some(id) = &call.operation_id {
-        step_of_issued(board, now, call, id)
+        step_of_issued_id(board, now, call, id)
     } else {
         step_of_key(board, now, call, out)
     };
     match step {
-        OperationStep::SendHome(_) => board.counters.increment(Counter::OperationsForwarded),
-        OperationStep::Wait => board.operations.watch(call.call, call.deadline.monotonic),
+        OperationStep::ForwardToHome(_) => board.counters.increment(Counter::OperationsForwarded),
+        OperationStep::Wait => board
+            .operations
+            .track_deadline(call.call, call.deadline.monotonic),
         OperationStep::Proceed | OperationStep::Finish(_) => {}
     }
     step
 }
 
-fn step_of_issued(
+fn step_of_issued_id(
     board: &mut Blackboard,
     now: Moment,
     call: &OperationCall,
@@ -74,11 +76,11 @@
     if id.caller != caller_digest(&board.settings.key, &call.caller) {
         return OperationStep::Finish(refusals::other_caller());
     }
-    step_at(board, now, call, id.operation)
+    step_at_home(board, now, call, id.operation)
 }
 
 /// Goes on here or at the home, wherever the operation is decided.
-fn step_at(
+fn step_at_home(
     board: &mut Blackboard,
     now: Moment,
     call: &OperationCall,
@@ -87,7 +89,7 @@
     if operation.home == board.settings.peer {
         home::step(board, now, call, &operation)
     } else {
-        OperationStep::SendHome(operation)
+        OperationStep::ForwardToHome(operation)
     }
 }
 
@@ -108,7 +110,7 @@
         return home::step(board, now, call, &operation);
     }
     if let Holder::Claim(claim) = look_up(board, now, &key, key_unix_ms) {
-        return step_of_held(board, now, call, &claim);
+        return step_of_claimed_key(board, now, call, &claim);
     }
     claim(board, now, call, key, key_unix_ms, out)
 }
@@ -147,7 +149,7 @@
     holder
 }
 
-fn step_of_held(
+fn step_of_claimed_key(
     board: &mut Blackboard,
     now: Moment,
     call: &OperationCall,
@@ -157,7 +159,7 @@
         return OperationStep::Finish(refusals::other_body());
     }
     let operation = claim.id.operation(expiry_of(claim.key_unix_ms));
-    step_at(board, now, call, operation)
+    step_at_home(board, now, call, operation)
 }
 
 /// Queues a claim of a key for the log; the call waits until it is decided.
@@ -204,7 +206,7 @@
 
 fn refusal_of_claims(board: &Blackboard, now: Moment, id: PartitionId) -> Option<CallEnding> {
     let table = &board.operations;
-    if now.monotonic < table.log_refused_until {
+    if now.monotonic < table.log_down_until {
         return Some(refusals::log_down());
     }
     if now.monotonic < table.claims_lost_until {
@@ -240,7 +242,7 @@
         None => home::outcome_of(ended),
     };
     match outcome {
-        Outcome::NotRun => OperationVerdict::NotHandedOver,
+        Outcome::NotRun => OperationVerdict::NotSent,
         Outcome::Ran | Outcome::Unknown => OperationVerdict::Finish(ending_of(ended, outcome)),
     }
 }
@@ -263,7 +265,7 @@
 /// hands the operation over once; but an unreachable home may have done so.
 fn verdict_of_forwarded(ended: &AttemptEnded) -> OperationVerdict {
     match &ended.result {
-        AttemptResult::NotSent => OperationVerdict::NotHandedOver,
+        AttemptResult::NotSent => OperationVerdict::NotSent,
         _ => OperationVerdict::Finish(ending_of(ended, home::outcome_of(ended))),
     }
 }
@@ -271,8 +273,8 @@
 /// Takes in that a call has ended, in whatever way.
 pub(crate) fn after_call(board: &mut Blackboard, now: Moment, call: CallId, out: &mut Vec<Output>) {
     board.operations.endings.remove(&call);
-    board.operations.unwatch(call);
-    let Some(sequence) = home::let_go(board, call) else {
+    board.operations.untrack_deadline(call);
+    let Some(sequence) = home::on_call_ended(board, call) else {
         return;
     };
     let operation = board.operations.memory.get(sequence);
@@ -280,7 +282,7 @@
         operation.state == OperationState::Claiming && operation.waiting.is_empty()
     });
     if is_unwanted {
-        claim_decision::give_up(board, sequence, None);
+        claim_decision::abandon(board, sequence, None);
     }
     home::wake(board, sequence);
     resume(board, now, out);
@@ -355,7 +357,7 @@
         return;
     };
     if let EraChange::Restored { .. } = board.operations.log_eras.observe(*era) {
-        claim_reading::on_log_returned(board, now, out);
+        claim_reading::on_log_restored(board, now, out);
         resume(board, now, out);
     }
 }
@@ -366,7 +368,7 @@
 }
 
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
-    end_late_calls(board, now);
+    end_overdue_calls(board, now);
     claims::on_tick(board, now, out);
     resume(board, now, out);
     if now.monotonic >= board.operations.swept_at + SWEEP_INTERVAL {
@@ -376,11 +378,11 @@
 }
 
 /// Ends calls that waited until their deadline.
-fn end_late_calls(board: &mut Blackboard, now: Moment) {
+fn end_overdue_calls(board: &mut Blackboard, now: Moment) {
     let table = &mut board.operations;
-    while let Some(call) = table.next_late(now.monotonic) {
-        table.unwatch(call);
-        table.endings.insert(call, refusals::too_late());
+    while let Some(call) = table.next_overdue(now.monotonic) {
+        table.untrack_deadline(call);
+        table.endings.insert(call, refusals::deadline_exceeded());
         table.resumed.push_back(call);
     }
 }
--- a/crates/kumquatquay-core/src/operations/home.rs
+++ b/crates/kumquatquay-core/src/operations/home.rs
@@ -25,8 +25,8 @@
         return OperationStep::Finish(refusals::home_gone());
     }
     let memory = &board.operations.memory;
-    if memory.is_unfiled(operation.sequence) {
-        return file(board, now, call, operation);
+    if memory.is_unregistered(operation.sequence) {
+        return register(board, now, call, operation);
     }
     let Some(known) = memory.get(operation.sequence) else {
         return OperationStep::Finish(refusals::expired_id());
@@ -41,7 +41,7 @@
 }
 
 /// Files an issued id for the first time.
-fn file(
+fn register(
     board: &mut Blackboard,
     now: Moment,
     call: &OperationCall,
@@ -80,7 +80,7 @@
             OperationStep::Proceed
         }
         OperationState::Reserved(holder) if *holder == call.call => OperationStep::Proceed,
-        OperationState::Claiming | OperationState::Reserved(_) | OperationState::HandedOver(_) => {
+        OperationState::Claiming | OperationState::Reserved(_) | OperationState::Dispatched(_) => {
             wait(board, call, sequence)
         }
         OperationState::Ran(Some(answer)) if known.is_body_known => {
@@ -89,8 +89,8 @@
             OperationStep::Finish(CallEnding::Replay(answer))
         }
         OperationState::Ran(_) => OperationStep::Finish(refusals::no_answer_kept()),
-        OperationState::Lost => OperationStep::Finish(refusals::lost()),
-        OperationState::GivenUp => OperationStep::Finish(refusals::given_up()),
+        OperationState::OutcomeUnknown => OperationStep::Finish(refusals::outcome_unknown()),
+        OperationState::Abandoned => OperationStep::Finish(refusals::claim_abandoned()),
     }
 }
 
@@ -115,7 +115,7 @@
         return;
     };
     if operation.state == OperationState::Reserved(call) {
-        operation.state = OperationState::HandedOver(call);
+        operation.state = OperationState::Dispatched(call);
         board.counters.increment(Counter::OperationsHandedOver);
     }
 }
@@ -128,13 +128,13 @@
 ) -> Option<Outcome> {
     let sequence = *board.operations.by_call.get(&call)?;
     let operation = board.operations.memory.get_mut(sequence)?;
-    if operation.state != OperationState::HandedOver(call) {
+    if operation.state != OperationState::Dispatched(call) {
         return None;
     }
     let outcome = outcome_of(ended);
     match outcome {
         Outcome::NotRun => operation.state = OperationState::Reserved(call),
-        Outcome::Unknown => operation.state = OperationState::Lost,
+        Outcome::Unknown => operation.state = OperationState::OutcomeUnknown,
         Outcome::Ran => board
             .operations
             .memory
@@ -177,15 +177,15 @@
 ///
 /// A call that ends while an attempt is out leaves the operation lost: the
 /// attempt may still run it.
-pub(crate) fn let_go(board: &mut Blackboard, call: CallId) -> Option<Sequence> {
+pub(crate) fn on_call_ended(board: &mut Blackboard, call: CallId) -> Option<Sequence> {
     let sequence = board.operations.by_call.remove(&call)?;
     let operation = board.operations.memory.get_mut(sequence)?;
     operation.waiting.retain(|waiting| *waiting != call);
     if operation.state == OperationState::Reserved(call) {
         operation.state = OperationState::Ready;
     }
-    if operation.state == OperationState::HandedOver(call) {
-        operation.state = OperationState::Lost;
+    if operation.state == OperationState::Dispatched(call) {
+        operation.state = OperationState::OutcomeUnknown;
     }
     Some(sequence)
 }
@@ -198,9 +198,9 @@
         return;
     };
     let count = match operation.state {
-        OperationState::Claiming | OperationState::Reserved(_) | OperationState::HandedOver(_) => 0,
+        OperationState::Claiming | OperationState::Reserved(_) | OperationState::Dispatched(_) => 0,
         OperationState::Ready => operation.waiting.len().min(1),
-        OperationState::Ran(_) | OperationState::Lost | OperationState::GivenUp => {
+        OperationState::Ran(_) | OperationState::OutcomeUnknown | OperationState::Abandoned => {
             operation.waiting.len()
         }
     };
--- a/crates/kumquatquay-core/src/operations/idempotency_key.rs
+++ b/crates/kumquatquay-core/src/operations/idempotency_key.rs
@@ -9,7 +9,7 @@
 
 /// How long after its own time a key may be claimed.
 ///
-/// A claim stays in the log for at least [`LOG_RETENTION_LEAST`]. A key that
+/// A claim stays in the log for at least [`MIN_LOG_RETENTION`]. A key that
 /// could be claimed for longer would find the earlier claim expired and its
 /// operation would run a second time.
 pub(crate) const CLAIM_WINDOW: Duration = Duration::from_secs(10 * 60);
@@ -18,10 +18,10 @@
 pub(crate) const CLOCK_SKEW_LIMIT: Duration = Duration::from_secs(2 * 60);
 
 /// The least time for which the platform's log has to keep records.
-pub(crate) const LOG_RETENTION_LEAST: Duration = Duration::from_secs(60 * 60);
+pub(crate) const MIN_LOG_RETENTION: Duration = Duration::from_secs(60 * 60);
 
 const _: () = assert!(
-    LOG_RETENTION_LEAST.as_secs() > CLAIM_WINDOW.as_secs() + 2 * CLOCK_SKEW_LIMIT.as_secs(),
+    MIN_LOG_RETENTION.as_secs() > CLAIM_WINDOW.as_secs() + 2 * CLOCK_SKEW_LIMIT.as_secs(),
     "a claim has to outlive the window in which its key can be claimed"
 );
 
--- a/crates/kumquatquay-core/src/operations/operation.rs
+++ b/crates/kumquatquay-core/src/operations/operation.rs
@@ -37,21 +37,21 @@
     /// A call prepares to hand it over; no other call may.
     Reserved(CallId),
     /// An attempt of a call has it, and may be running it.
-    HandedOver(CallId),
+    Dispatched(CallId),
     /// It ran; the answer is kept if it was whole and fits.
     Ran(Option<StoredAnswer>),
     /// It was handed over and the answer was lost; it is never run again.
-    Lost,
+    OutcomeUnknown,
     /// The claim lost or was released; this node never runs it.
-    GivenUp,
+    Abandoned,
 }
 
 impl Operation {
     /// Whether it may be dropped: no call is concerned with it.
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn is_evictable(&self) -> bool {
         let is_busy = matches!(
             self.state,
-            OperationState::Claiming | OperationState::Reserved(_) | OperationState::HandedOver(_)
+            OperationState::Claiming | OperationState::Reserved(_) | OperationState::Dispatched(_)
         );
         !is_busy && self.waiting.is_empty()
     }
--- a/crates/kumquatquay-core/src/operations/operation_call.rs
+++ b/crates/kumquatquay-core/src/operations/operation_call.rs
@@ -74,7 +74,7 @@
     Wait,
     /// Start the attempt at the home of the operation, with this in its
     /// context; the peer address is [`OperationRef::home`].
-    SendHome(OperationRef),
+    ForwardToHome(OperationRef),
     /// End the call.
     Finish(CallEnding),
 }
@@ -86,7 +86,7 @@
     NotAnOperation,
     /// Nothing was handed over; another attempt is safe, after
     /// [`before_attempt`](super::before_attempt).
-    NotHandedOver,
+    NotSent,
     /// No further attempt: end the call so.
     Finish(CallEnding),
 }
--- a/crates/kumquatquay-core/src/operations/operation_dump.rs
+++ b/crates/kumquatquay-core/src/operations/operation_dump.rs
@@ -45,8 +45,8 @@
         for (_, operation) in table.memory.iter() {
             match operation.state {
                 OperationState::Claiming => dump.claiming_count += 1,
-                OperationState::HandedOver(_) => dump.handed_over_count += 1,
-                OperationState::Lost => dump.lost_count += 1,
+                OperationState::Dispatched(_) => dump.handed_over_count += 1,
+                OperationState::OutcomeUnknown => dump.lost_count += 1,
                 _ => {}
             }
         }
--- a/crates/kumquatquay-core/src/operations/operation_memory.rs
+++ b/crates/kumquatquay-core/src/operations/operation_memory.rs
@@ -26,7 +26,7 @@
     /// Numbers up to this one that are not in the memory may have run. It is
     /// the safeguard of eviction: without it a forgotten operation would look
     /// like one that was never filed, and would run a second time.
-    forgotten_through: Sequence,
+    evicted_through: Sequence,
     last_sequence: Sequence,
     /// Operations with a stored answer, the oldest first.
     answered: VecDeque<Sequence>,
@@ -64,17 +64,17 @@
 
     /// Whether a number was given and never filed, so that its operation has
     /// certainly not run.
-    pub(crate) fn is_unfiled(&self, sequence: Sequence) -> bool {
+    pub(crate) fn is_unregistered(&self, sequence: Sequence) -> bool {
         let is_given = sequence <= self.last_sequence;
         let is_filed = self.operations.contains_key(&sequence);
-        is_given && !is_filed && sequence > self.forgotten_through
+        is_given && !is_filed && sequence > self.evicted_through
     }
 
     /// Adds an operation, forgetting the oldest settled one if there is no room.
     ///
     /// Returns whether there is room.
     pub(crate) fn insert(&mut self, sequence: Sequence, operation: Operation) -> bool {
-        if self.operations.len() >= OPERATIONS_LIMIT_COUNT && !self.forget_oldest() {
+        if self.operations.len() >= OPERATIONS_LIMIT_COUNT && !self.evict_oldest() {
             return false;
         }
         self.operations.insert(sequence, operation);
@@ -115,30 +115,30 @@
     pub(crate) fn expire(&mut self, now: Duration) -> Vec<Operation> {
         let mut expired = Vec::new();
         while let Some(entry) = self.operations.first_entry() {
-            let is_due = entry.get().expires <= now && entry.get().is_settled();
+            let is_due = entry.get().expires <= now && entry.get().is_evictable();
             if !is_due {
                 break;
             }
             let sequence = *entry.key();
-            expired.extend(self.forget(sequence));
+            expired.extend(self.remove(sequence));
         }
         expired
     }
 
-    fn forget_oldest(&mut self) -> bool {
+    fn evict_oldest(&mut self) -> bool {
         let settled = self
             .operations
             .iter()
-            .find(|(_, operation)| operation.is_settled());
+            .find(|(_, operation)| operation.is_evictable());
         let Some(sequence) = settled.map(|(sequence, _)| *sequence) else {
             return false;
         };
-        self.forget(sequence).is_some()
+        self.remove(sequence).is_some()
     }
 
-    fn forget(&mut self, sequence: Sequence) -> Option<Operation> {
+    fn remove(&mut self, sequence: Sequence) -> Option<Operation> {
         self.drop_answer(sequence);
-        self.forgotten_through = self.forgotten_through.max(sequence);
+        self.evicted_through = self.evicted_through.max(sequence);
         let forgotten = self.operations.remove(&sequence);
         while let Some(oldest) = self.answered.front() {
             if self.operations.contains_key(oldest) {
--- a/crates/kumquatquay-core/src/operations/operation_table.rs
+++ b/crates/kumquatquay-core/src/operations/operation_table.rs
@@ -44,7 +44,7 @@
     /// clock.
     pub(crate) log_retry_at: Duration,
     /// Keys are refused until this, on the monotonic clock: the log is down.
-    pub(crate) log_refused_until: Duration,
+    pub(crate) log_down_until: Duration,
     /// Eras of the log, as answers to any of its readers told them.
     pub(crate) log_eras: EraTracker,
     /// Keys are refused until this, on the monotonic clock: the log came back from a copy that
@@ -56,21 +56,21 @@
 
 impl OperationTable {
     /// Ends a call's wait at its deadline.
-    pub(crate) fn watch(&mut self, call: CallId, deadline: Duration) {
-        self.unwatch(call);
+    pub(crate) fn track_deadline(&mut self, call: CallId, deadline: Duration) {
+        self.untrack_deadline(call);
         self.deadlines.insert(call, deadline);
         self.by_deadline.insert((deadline, call));
     }
 
     /// A call waits no longer.
-    pub(crate) fn unwatch(&mut self, call: CallId) {
+    pub(crate) fn untrack_deadline(&mut self, call: CallId) {
         if let Some(deadline) = self.deadlines.remove(&call) {
             self.by_deadline.remove(&(deadline, call));
         }
     }
 
     /// A call whose deadline has passed while it waited.
-    pub(crate) fn next_late(&self, now: Duration) -> Option<CallId> {
+    pub(crate) fn next_overdue(&self, now: Duration) -> Option<CallId> {
         let (deadline, call) = self.by_deadline.first()?;
         (*deadline <= now).then_some(*call)
     }
--- a/crates/kumquatquay-core/src/operations/refusals.rs
+++ b/crates/kumquatquay-core/src/operations/refusals.rs
@@ -100,7 +100,7 @@
     )
 }
 
-pub(crate) fn lost() -> CallEnding {
+pub(crate) fn outcome_unknown() -> CallEnding {
     undecided(
         None,
         "the operation was handed over and its answer was lost; it will not run again",
@@ -113,13 +113,13 @@
     refuse(reason, Outcome::Unknown, None, detail)
 }
 
-pub(crate) fn too_late() -> CallEnding {
+pub(crate) fn deadline_exceeded() -> CallEnding {
     let detail = "the operation was not decided in the time allowed; ask again under the same key";
     let reason = RefusalReason::Deadline;
     refuse(reason, Outcome::Unknown, Some(RETRY_AFTER), detail)
 }
 
-pub(crate) fn given_up() -> CallEnding {
+pub(crate) fn claim_abandoned() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
         "the claim was given up; ask again under the same key",
