--- a/crates/kumquatquay-core/src/operations/claim_decision.rs
+++ b/crates/kumquatquay-core/src/operations/claim_decision.rs
@@ -1,4 +1,4 @@
-//! How claims are decided: won, lost or given up.
+//! Decides claims: each is won, lost or abandoned.
 
 use kumquatquay_wire::Sequence;
 
@@ -14,8 +14,10 @@
 };
 use crate::{Blackboard, CallEnding, Counter, Moment};
 
-/// Decides the sent claims by what was read. What is missing is appended again
-/// after a pause: a log that loses answers would get copies without end.
+/// Decides the appended claims by what was read.
+///
+/// Events that are missing in the stream are appended again after a pause; without it a log
+/// that loses its answers would receive copies without end.
 pub(super) fn decide_batch(board: &mut Blackboard, now: Moment, id: PartitionId) {
     drop_abandoned(board, id);
     let partition = partition_mut(board, id);
@@ -58,7 +60,7 @@
     }
 }
 
-/// Gives up every undecided claim of a partition.
+/// Abandons every undecided claim of a partition; the calls that wait get the given ending.
 pub(super) fn abandon_all(board: &mut Blackboard, id: PartitionId, ending: &CallEnding) {
     let partition = partition_mut(board, id);
     let events = partition.queue.iter().chain(&partition.in_flight);
@@ -73,10 +75,10 @@
     }
 }
 
-/// Gives up an undecided claim: this node will never run the operation.
+/// Abandons an undecided claim: this node will never run the operation under it.
 ///
-/// A claim that may be in the log is released there, so that the key isn't
-/// held by a claimant that will not run it.
+/// A claim that may be in the log is released there; otherwise a claimant that will not run the
+/// operation would hold the key.
 pub(crate) fn abandon(board: &mut Blackboard, sequence: Sequence, ending: Option<&CallEnding>) {
     let table = &mut board.operations;
     let Some(operation) = table.memory.get_mut(sequence) else {
@@ -113,8 +115,8 @@
     board.counters.increment(Counter::ClaimsGivenUp);
 }
 
-/// Another claim holds the key: the calls that wait look it up again and are
-/// sent to its home.
+/// Records that another claim holds the key: the calls that wait look the key up again and are
+/// forwarded to the home of that claim.
 pub(super) fn lose(board: &mut Blackboard, claim: &Claim) {
     let table = &mut board.operations;
     let Some(operation) = table.memory.get_mut(claim.id.sequence) else {
@@ -129,7 +131,8 @@
     table.by_key.remove(&claim.key);
 }
 
-/// The claim is the first of its key: this node is the home and may run it.
+/// Records that the claim is the first of its key: this node is the home and may run the
+/// operation.
 pub(super) fn win(board: &mut Blackboard, sequence: Sequence) {
     let table = &mut board.operations;
     let Some(operation) = table.memory.get_mut(sequence) else {
@@ -155,7 +158,7 @@
     partition.is_append_outcome_unknown = false;
 }
 
-/// Forgets sent claims that were given up; their releases are in the queue.
+/// Drops abandoned claims from the appended batch; their releases are in the queue.
 pub(super) fn drop_abandoned(board: &mut Blackboard, id: PartitionId) {
     let table = &mut board.operations;
     let Some(partition) = table.partitions.get_mut(&id) else {
--- a/crates/kumquatquay-core/src/operations/claim_reading.rs
+++ b/crates/kumquatquay-core/src/operations/claim_reading.rs
@@ -1,4 +1,4 @@
-//! Reads a claim stream: back to the time of the oldest key, then on.
+//! Reads a claim stream: back to the time of the oldest queued key, then forward.
 
 use kumquatquay_wire::LogOffset;
 
@@ -13,23 +13,24 @@
 };
 use crate::{Blackboard, LogRecord, Moment, Note, Output, Severity};
 
-/// Records that are read back at first.
+/// Number of records at the end of a stream that are loaded first.
 const INITIAL_LOAD_COUNT: u64 = 64;
 
-/// How much further each next reading goes back.
+/// Factor by which the number of records grows if the load did not go back far enough.
 const LOAD_GROWTH: u64 = 4;
 
-/// The most records that are read back.
+/// Number of loaded records from which on the load isn't extended further; the claims are
+/// abandoned instead.
 const LOAD_LIMIT_COUNT: u64 = 16_384;
 
-/// What the log answered to a read.
+/// Answer of the log to a read.
 pub(super) struct ReadResult {
     pub(super) records: Vec<LogRecord>,
     pub(super) oldest_offset: LogOffset,
     pub(super) next_offset: LogOffset,
 }
 
-/// Takes in what the log answered to the read of a partition.
+/// Handles the answer of the log to a read of a partition.
 pub(super) fn on_read(
     board: &mut Blackboard,
     now: Moment,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Starts to read the last records of a stream.
+/// Starts to load the last `count` records before `until`; an empty range gives an empty view.
 fn load(
     board: &mut Blackboard,
     id: PartitionId,
@@ -162,12 +163,14 @@
     }
 }
 
-/// The log came back from a copy. Claims of any key may be lost, of streams too that this node
-/// never read, so all keys are refused until their windows have passed; issued ids still work.
+/// Handles that the log was restored from a backup.
+///
+/// Claims of any key may be lost, also in streams that this node never read, so all keys are
+/// refused until their windows have passed. Issued ids still work.
 pub(crate) fn on_log_restored(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let table = &mut board.operations;
     table.claims_lost_until = now.monotonic + CLAIM_WINDOW + 2 * CLOCK_SKEW_LIMIT;
-    // What is under way was asked of the log as it was.
+    // Requests under way were sent to the log before it was restored.
     table.exchanges.clear();
     let ids: Vec<PartitionId> = table.partitions.keys().copied().collect();
     for id in ids {
@@ -177,7 +180,7 @@
         partition.wants_refresh = false;
         abandon_all(board, id, &refusals::log_incomplete());
     }
-    let detail = "the log came back from an older copy; callers' keys are refused for 14 minutes, \
+    let detail = "the log was restored from a backup; Idempotency-Keys are refused for 14 minutes, \
                   since claims may be lost; issued ids still work";
     out.push(Output::Note(Note::new(
         Severity::Error,
@@ -186,9 +189,10 @@
     )));
 }
 
-/// Records that were not read are gone, or the stream became shorter. An
-/// earlier claim of any key may be among them, so keys are refused until their
-/// windows have passed; a second run of an operation would be the price.
+/// Handles that records were removed before they were read, or that the stream became shorter.
+///
+/// An earlier claim of any key of the stream may be among the lost records. The keys are refused
+/// until their windows have passed; otherwise an operation could run a second time.
 fn on_records_lost(board: &mut Blackboard, now: Moment, id: PartitionId, out: &mut Vec<Output>) {
     let partition = partition_mut(board, id);
     partition.view = None;
--- a/crates/kumquatquay-core/src/operations/claims.rs
+++ b/crates/kumquatquay-core/src/operations/claims.rs
@@ -1,9 +1,9 @@
-//! Claims of the callers' own keys in the platform's log.
+//! Claims of the callers' `Idempotency-Key`s in the platform's log.
 //!
-//! A partition with work goes through: find the end of the stream, read it
-//! back to the time of the oldest key, append a batch of claims, read on
-//! through it, decide each claim by what was read. The view is contiguous from
-//! before the append, so no earlier claim of a key can hide.
+//! A partition with queued events finds the end of its stream, reads the stream back to the
+//! time of the oldest key, appends a batch of claims, reads forward through that batch and
+//! decides each claim by what was read. The view is contiguous and starts before the append, so
+//! it contains every earlier claim of a key.
 
 use std::time::Duration;
 
@@ -20,29 +20,30 @@
 };
 use crate::{AppendId, Blackboard, Counter, LogInput, Moment, Note, Output};
 
-/// Events that wait for one stream.
+/// Maximum number of events queued for one stream; further keys are refused.
 pub(crate) const QUEUE_LIMIT_COUNT: usize = 256;
 
-/// Events that one append carries.
+/// Maximum number of events in one append.
 const BATCH_LIMIT_COUNT: usize = 64;
 
-/// How long after a failure of the log it is asked again.
+/// Pause of a partition after a failed request to the log, or before events that are missing in
+/// the stream are appended again; also the node's shortest pause while the log fails.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often the pause between two attempts of a failing log doubles; 6.4 s is
-/// the longest.
+/// How often the pause between two requests to a failing log doubles; the longest is 6.4 s.
 const RETRY_DOUBLINGS_LIMIT_COUNT: u32 = 5;
 
-/// How long claims wait for a log that fails before they are given up.
+/// How long the log may fail before claims that wait for it are abandoned.
 const LOG_FAILURE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long keys are refused after a log that failed was last asked.
+/// How long keys are refused after the last failed request to the log.
 const LOG_DOWN_DURATION: Duration = Duration::from_secs(1);
 
-/// An offset beyond every record: reading from it tells where the stream ends.
+/// An offset beyond every record: a read from it returns the end of the stream.
 const BEYOND_END: LogOffset = 1 << 62;
 
-/// Does the next thing that a partition needs, if nothing is under way.
+/// Starts the next request to the log that a partition needs, if none is under way and the pause
+/// after a failure is over.
 pub(crate) fn advance(board: &mut Blackboard, now: Moment, id: PartitionId, out: &mut Vec<Output>) {
     let partition = board.operations.partitions.entry(id).or_default();
     let is_idle = matches!(partition.exchange, Exchange::Idle);
@@ -78,8 +79,7 @@
     board.operations.partitions.entry(id).or_default()
 }
 
-/// Whether the view shows every earlier claim of the queued keys. A release
-/// needs no view.
+/// Whether the view contains every earlier claim of the queued keys. A release needs no view.
 fn covers_queue(partition: &ClaimPartition) -> bool {
     let Some(needed) = needed_since(partition) else {
         return true;
@@ -88,6 +88,7 @@
     view.is_some_and(|view| view.covers_since_unix_ms <= needed)
 }
 
+/// Returns the time since which the view must be complete to decide the queued claims.
 pub(super) fn needed_since(partition: &ClaimPartition) -> Option<u64> {
     let claims = partition.queue.iter().filter_map(|event| match event {
         ClaimEvent::Claim(claim) => Some(earliest_claim_unix_ms(claim.key_unix_ms)),
@@ -96,8 +97,9 @@
     claims.min()
 }
 
-/// Takes events off the queue; claims of keys that another claim holds already
-/// are lost without an append.
+/// Takes the next batch off the queue.
+///
+/// A claim of a key that another claim already holds is lost without an append.
 fn next_batch(board: &mut Blackboard, id: PartitionId) -> ClaimBatch {
     let mut batch = ClaimBatch::new();
     while batch.len() < BATCH_LIMIT_COUNT {
@@ -159,7 +161,7 @@
     });
 }
 
-/// Takes in an answer of the log to one of the claim streams.
+/// Handles an answer of the log to a request on a claim stream.
 pub(crate) fn on_log(board: &mut Blackboard, now: Moment, input: LogInput, out: &mut Vec<Output>) {
     let Some(id) = board.operations.exchanges.remove(&exchange_id(&input)) else {
         return;
@@ -191,7 +193,7 @@
     advance(board, now, id, out);
 }
 
-/// The append or read that an answer of the log belongs to.
+/// Returns the id of the append or read that an answer of the log belongs to.
 pub(crate) fn exchange_id(input: &LogInput) -> u64 {
     match input {
         LogInput::Appended { append, .. }
@@ -228,7 +230,10 @@
     }
 }
 
-/// The record is not in the stream, unless an earlier copy may be.
+/// Handles a refused append: the record is not in the stream.
+///
+/// If the outcome of an earlier append of the batch is unknown, a copy may be there and the
+/// stream is read to its end. Otherwise the events return to the queue.
 fn on_append_refused(board: &mut Blackboard, now: Moment, id: PartitionId, out: &mut Vec<Output>) {
     let partition = partition_mut(board, id);
     if partition.is_append_outcome_unknown {
@@ -242,8 +247,10 @@
     on_failure(board, now, id, out);
 }
 
-/// The record may be in the stream: read on, and append it again if it isn't.
-/// A copy that lands late is harmless, since it names the same claim.
+/// Handles an append of unknown outcome: the stream is read to its end, and what is missing
+/// there is appended again.
+///
+/// A copy that arrives late is harmless, since it has the same claim id.
 fn on_append_outcome_unknown(
     board: &mut Blackboard,
     now: Moment,
@@ -280,12 +287,12 @@
     table.log_down_until = now.monotonic + LOG_DOWN_DURATION;
     out.push(Output::Note(Note::warn(
         "claims_refused",
-        "the log does not answer; keys of callers are refused, issued ids still work",
+        "the log does not answer; Idempotency-Keys are refused, issued ids still work",
     )));
     abandon_all(board, id, &refusals::log_down());
 }
 
-/// Goes on with partitions whose pause after a failure is over.
+/// Continues partitions with work whose pause after a failure is over.
 pub(crate) fn on_tick(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     let partitions = board.operations.partitions.iter();
     let waiting = partitions.filter(|(_, partition)| {
@@ -303,8 +310,9 @@
     }
 }
 
-/// While the log fails one partition at a time asks it, less and less often:
-/// all nodes ask, and a log that comes back would meet their backlog at once.
+/// Keeps at most one partition that may send requests while the log fails, with growing pauses.
+///
+/// All nodes retry; without the limit a log that recovers would receive their backlog at once.
 fn limit_retries_of_failing_log(
     board: &mut Blackboard,
     now: Moment,
--- a/crates/kumquatquay-core/src/operations/controller.rs
+++ b/crates/kumquatquay-core/src/operations/controller.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent operations, at most once: what is decided.
+//! Runs non-idempotent operations at most once: the steps of their calls.
 
 use std::time::Duration;
 
@@ -22,19 +22,19 @@
     Moment, OperationIssued, Output, RefusalReason, call, routed::EraChange,
 };
 
-/// How often the memory and the views are swept.
+/// Interval between removals of expired operations and unused views.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a view of a claim stream is kept after its last use.
+/// How long the view of a claim stream is kept after the last lookup of a key in it.
 const VIEW_LIFETIME: Duration = Duration::from_secs(60);
 
-/// Events that the views of all claim streams keep.
+/// Number of events in the views of all claim streams above which idle views are dropped.
 const EVENTS_LIMIT_COUNT: usize = 65_536;
 
-/// How old a view may be before a key that is held is looked up again.
+/// Age of a view beyond which the lookup of a claimed key has its stream read again.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Says what to do with a call before an attempt of it starts.
+/// Returns what to do with a call before an attempt of it starts.
 pub(crate) fn before_attempt(
     board: &mut Blackboard,
     now: Moment,
@@ -79,7 +79,7 @@
     step_at_home(board, now, call, id.operation)
 }
 
-/// Goes on here or at the home, wherever the operation is decided.
+/// Continues at the home of the operation, which is this node or another one.
 fn step_at_home(
     board: &mut Blackboard,
     now: Moment,
@@ -131,7 +131,9 @@
     key_unix_ms + OPERATION_LIFETIME.as_millis() as u64
 }
 
-/// Who holds a key, as far as this node has read.
+/// Returns the holder of a key, as far as this node has read the claim stream.
+///
+/// The result is `Nobody` if the view lacks a part that may hold a claim of the key.
 fn look_up(board: &mut Blackboard, now: Moment, key: &KeyDigest, key_unix_ms: u64) -> Holder {
     let needed = idempotency_key::earliest_claim_unix_ms(key_unix_ms);
     let partitions = &mut board.operations.partitions;
@@ -162,7 +164,7 @@
     step_at_home(board, now, call, operation)
 }
 
-/// Queues a claim of a key for the log; the call waits until it is decided.
+/// Queues a claim of a key to be appended to the log; the call waits until it is decided.
 fn claim(
     board: &mut Blackboard,
     now: Moment,
@@ -220,13 +222,12 @@
     is_full.then(refusals::busy)
 }
 
-/// Takes in that an attempt starts at a backend server; from here on the
-/// operation may run.
+/// Records that an attempt starts at a backend server; from now on the operation may run.
 pub(crate) fn on_attempt_started(board: &mut Blackboard, call: CallId) {
     home::on_attempt_started(board, call);
 }
 
-/// Takes in how an attempt ended and says whether another one is safe.
+/// Records how an attempt ended and returns whether another one is safe.
 pub(crate) fn on_attempt_ended(
     board: &mut Blackboard,
     _now: Moment,
@@ -261,8 +262,11 @@
     }
 }
 
-/// The attempt went to the home: sending it again is safe, since the home
-/// hands the operation over once; but an unreachable home may have done so.
+/// Returns the verdict on an attempt that was forwarded to the home.
+///
+/// It is repeated only if nothing was sent. A repeat is safe since the home dispatches the
+/// operation to a backend server only once, but a home that can't be reached any more may have
+/// done so.
 fn verdict_of_forwarded(ended: &AttemptEnded) -> OperationVerdict {
     match &ended.result {
         AttemptResult::NotSent => OperationVerdict::NotSent,
@@ -270,7 +274,9 @@
     }
 }
 
-/// Takes in that a call has ended, in whatever way.
+/// Removes a call that has ended, whatever its ending.
+///
+/// A claim that is still undecided is abandoned if no other call waits for it.
 pub(crate) fn after_call(board: &mut Blackboard, now: Moment, call: CallId, out: &mut Vec<Output>) {
     board.operations.endings.remove(&call);
     board.operations.untrack_deadline(call);
@@ -288,7 +294,9 @@
     resume(board, now, out);
 }
 
-/// Lets calls go on that wait no longer.
+/// Resumes the calls that no longer wait.
+///
+/// Does nothing if it is already running further up the stack.
 fn resume(board: &mut Blackboard, now: Moment, out: &mut Vec<Output>) {
     if board.operations.is_resuming {
         return;
@@ -300,7 +308,7 @@
     board.operations.is_resuming = false;
 }
 
-/// What is certain of a call that this node refuses while no attempt is out.
+/// Returns the outcome of a call that this node refuses while no attempt is under way.
 pub(crate) fn outcome_if_not_sent(board: &Blackboard, call: &OperationCall) -> Outcome {
     if !call.is_operation() {
         return Outcome::NotRun;
@@ -318,8 +326,9 @@
     }
 }
 
-/// Issues an operation id whose home is this node. It costs no memory until it
-/// is filed.
+/// Issues an operation id whose home is this node.
+///
+/// The id takes no memory until a call uses it.
 pub(crate) fn issue(
     board: &mut Blackboard,
     now: Moment,
@@ -340,13 +349,13 @@
     }));
 }
 
-/// Whether an answer of the log belongs to the operations.
+/// Whether an answer of the log belongs to a request on a claim stream.
 pub(crate) fn owns(board: &Blackboard, input: &LogInput) -> bool {
     let exchanges = &board.operations.exchanges;
     exchanges.contains_key(&claims::exchange_id(input))
 }
 
-/// Takes in the era that an answer of the log tells, whichever stream it is of.
+/// Observes the era in an answer of the log, whichever stream the answer is about.
 pub(crate) fn on_log_era(
     board: &mut Blackboard,
     now: Moment,
@@ -377,7 +386,7 @@
     }
 }
 
-/// Ends calls that waited until their deadline.
+/// Ends the waiting calls whose deadline has passed.
 fn end_overdue_calls(board: &mut Blackboard, now: Moment) {
     let table = &mut board.operations;
     while let Some(call) = table.next_overdue(now.monotonic) {
@@ -387,7 +396,8 @@
     }
 }
 
-/// Forgets what has expired.
+/// Removes expired operations, and idle views that are unused or if all views hold too many
+/// events.
 fn sweep(board: &mut Blackboard, now: Moment) {
     let table = &mut board.operations;
     for operation in table.memory.expire(now.monotonic) {
