--- a/crates/kumquatquay-core/src/operations/claim.rs
+++ b/crates/kumquatquay-core/src/operations/claim.rs
@@ -7,39 +7,39 @@
 
 use super::digest::{CallerDigest, KeyDigest, RequestDigest};
 
-/// Streams over which the claims are spread.
+/// Number of claim streams; the digest of a key selects its stream.
 ///
-/// A claimant reads its stream back to the time of its key. With one stream
-/// every claimant would read the claims of all; with many the streams cost the
-/// log bookkeeping and batches get smaller. See `docs/design/operations.md`.
+/// A claimant reads its stream back to the time of its key. With a single stream every claimant
+/// would read the claims of all others; more streams cost the log more bookkeeping and make
+/// batches smaller. See `docs/design/operations.md`.
 pub(crate) const PARTITIONS_COUNT: u16 = 256;
 
 /// Number of a claim stream.
 pub(crate) type PartitionId = u16;
 
-/// Stream that the claims of a key go to.
+/// Returns the stream to which claims of a key are appended.
 pub(crate) fn partition_of(key: &KeyDigest) -> PartitionId {
     u16::from_le_bytes([key[0], key[1]]) % PARTITIONS_COUNT
 }
 
-/// Name of a claim stream.
+/// Returns the name of a claim stream in the log.
 pub(crate) fn stream_name(partition: PartitionId) -> StreamName {
     format!("claims-{partition}")
 }
 
-/// Names one claim: its claimant and the claimant's number for the operation.
+/// Id of a claim: its claimant and the claimant's number for the operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct ClaimId {
     /// Peer address of the claimant, the home of the operation if it wins.
     pub(crate) home: SocketAddr,
-    /// Life of the claimant.
+    /// Incarnation of the claimant.
     pub(crate) incarnation: Incarnation,
     /// The claimant's number for the operation.
     pub(crate) sequence: Sequence,
 }
 
 impl ClaimId {
-    /// The operation that the claim names, if it wins.
+    /// Returns the operation that the claim stands for if it wins.
     pub(crate) fn operation(&self, expires_unix_ms: u64) -> OperationRef {
         OperationRef {
             home: self.home,
@@ -53,15 +53,15 @@
 /// A claim to run the operation of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Claim {
-    /// Names the claim; appending the same id again changes nothing.
+    /// Id of the claim; appending a claim with the same id again has no effect.
     pub(crate) id: ClaimId,
-    /// Digest of the caller and its key.
+    /// Digest of the caller and its `Idempotency-Key`.
     pub(crate) key: KeyDigest,
     /// Digest of the caller.
     pub(crate) caller: CallerDigest,
     /// Digest of route and body.
     pub(crate) request: RequestDigest,
-    /// Time of the key, in milliseconds since the Unix epoch.
+    /// Time contained in the key, in milliseconds since the Unix epoch.
     pub(crate) key_unix_ms: u64,
 }
 
@@ -70,18 +70,18 @@
 pub(crate) enum ClaimEvent {
     /// A node claims a key.
     Claim(Claim),
-    /// The claimant gave up before it handed anything over and never will; the
-    /// next claim of the key wins.
+    /// The claimant abandoned its claim: it has not dispatched the operation under it and never
+    /// will. The next claim of the key wins.
     Release {
-        /// The claim.
+        /// Id of the abandoned claim.
         id: ClaimId,
-        /// Its key.
+        /// Digest of the caller and its key, as in the claim.
         key: KeyDigest,
     },
 }
 
 impl ClaimEvent {
-    /// The key that the event is about.
+    /// Returns the digest of the key that the event concerns.
     pub(crate) fn key(&self) -> KeyDigest {
         match self {
             Self::Claim(claim) => claim.key,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Events that one append carries, in their order.
+/// Events of one append, in order.
 pub(crate) type ClaimBatch = Vec<ClaimEvent>;
 
 const PURPOSE: &str = "operation claims";
@@ -100,15 +100,17 @@
     key.seal(PURPOSE, batch)
 }
 
-/// Decodes a record of the log; it is skipped if it isn't one of ours.
+/// Authenticates and decodes a record of the log.
+///
+/// Readers skip records for which this fails: no node with this mesh key wrote them.
 pub(crate) fn decode_batch(key: &MeshKey, bytes: &[u8]) -> Result<ClaimBatch, WireError> {
     key.open(PURPOSE, bytes)
 }
 
-/// An event with its place in the stream.
+/// An event of a claim stream with the time of its append.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoggedEvent {
-    /// When the log took it, in milliseconds since the Unix epoch.
+    /// When the log appended it, in milliseconds since the Unix epoch.
     pub(crate) appended_unix_ms: u64,
     /// The event.
     pub(crate) event: ClaimEvent,
--- a/crates/kumquatquay-core/src/operations/claim_partition.rs
+++ b/crates/kumquatquay-core/src/operations/claim_partition.rs
@@ -1,4 +1,4 @@
-//! The exchange of one node with one claim stream.
+//! State of a node's requests to one claim stream.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -10,25 +10,24 @@
 };
 use crate::LogRecord;
 
-/// The exchange of one node with one claim stream; one request to the log is
-/// under way at a time.
+/// State of a node's requests to one claim stream; one request is under way at a time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClaimPartition {
-    /// What was read; `None` until the first claim or after a gap.
+    /// What was read; `None` before the first load, after lost records and if it was unused.
     pub(crate) view: Option<ClaimView>,
     /// The request that is under way.
     pub(crate) exchange: Exchange,
-    /// Events that were not sent yet.
+    /// Events that are not yet in an append.
     pub(crate) queue: VecDeque<ClaimEvent>,
-    /// Events that were sent and have not been read back.
+    /// Events of the current append that have not been read back.
     pub(crate) in_flight: ClaimBatch,
-    /// How far to read on before `in_flight` is judged; `None` before its
-    /// append was answered.
+    /// How far to read forward before `in_flight` is decided; `None` before its append was
+    /// answered.
     pub(crate) read_target: Option<ReadTarget>,
-    /// Whether the answer to an append of `in_flight` was lost, so that a copy
-    /// of it may be in the stream or still land there.
+    /// Whether the answer to an append of `in_flight` was lost, so that a copy of it may be in
+    /// the stream or may still arrive there.
     pub(crate) is_append_outcome_unknown: bool,
-    /// Whether to read on although nothing waits for it.
+    /// Whether to read forward although no claim waits for it.
     pub(crate) wants_refresh: bool,
     /// No request is sent before this, on the monotonic clock.
     pub(crate) retry_at: Duration,
@@ -36,48 +35,48 @@
     pub(crate) used_at: Duration,
     /// When the stream was last read to its end, on the monotonic clock.
     pub(crate) read_at: Duration,
-    /// Keys are refused until this, on the monotonic clock: claims were lost.
+    /// Keys are refused until this, on the monotonic clock, since claims of the stream were lost.
     pub(crate) refused_until: Duration,
 }
 
 /// A request to the log that is under way.
 #[derive(Clone, Debug, Default)]
 pub(crate) enum Exchange {
-    /// None.
+    /// No request is under way.
     #[default]
     Idle,
-    /// Asks where the stream ends.
+    /// Finds the end of the stream.
     Probing,
-    /// Reads the end of the stream, back to the time of the oldest key.
+    /// Loads the last records of the stream, back to the time of the oldest queued key.
     Loading(Loading),
     /// Appends `in_flight`.
     Appending,
-    /// Reads what follows the view.
+    /// Reads the records that follow the view.
     ReadingForward,
 }
 
-/// The end of a stream that is being read for the first time.
+/// Progress of a load of the last records of a stream.
 #[derive(Clone, Debug)]
 pub(crate) struct Loading {
-    /// Where reading began.
+    /// Offset of the first record to load.
     pub(crate) from: LogOffset,
-    /// Where the stream ended when loading began.
+    /// Offset of the end of the stream when it was probed.
     pub(crate) until: LogOffset,
     /// Records read so far.
     pub(crate) records: Vec<LogRecord>,
 }
 
-/// How far to read on before sent events are judged.
+/// How far to read forward before the appended events are decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadTarget {
-    /// Through the offset that the log named.
+    /// Through the offset that the log returned for the append.
     Through(LogOffset),
-    /// To the end of the stream: the log named no offset.
+    /// To the end of the stream, if the log returned no offset.
     End,
 }
 
 impl ClaimPartition {
-    /// Whether nothing is under way, so that the view may be dropped.
+    /// Whether there is no request and no event, so that the view may be dropped.
     pub(crate) fn is_idle(&self) -> bool {
         let is_idle = matches!(self.exchange, Exchange::Idle);
         is_idle && self.queue.is_empty() && self.in_flight.is_empty()
--- a/crates/kumquatquay-core/src/operations/claim_view.rs
+++ b/crates/kumquatquay-core/src/operations/claim_view.rs
@@ -1,4 +1,4 @@
-//! What a node has read of one claim stream.
+//! View of one claim stream: the events that a node has read.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +11,33 @@
 };
 use crate::LogRecord;
 
-/// How much time of the log passes between two sweeps of old events.
+/// Log time between two removals of old events.
 const TRIM_INTERVAL_MS: u64 = 60_000;
 
 /// A contiguous part of one claim stream, up to its newest record.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimView {
-    /// The offset to read on from.
+    /// Offset of the next record to read.
     pub(crate) next_offset: LogOffset,
-    /// Every record that the log took since this time is in the view.
+    /// The view contains every record that the log appended since this time and that was read.
     pub(crate) covers_since_unix_ms: u64,
-    /// When the log took the newest record seen.
+    /// Append time of the newest record in the view.
     newest_unix_ms: u64,
     events: BTreeMap<KeyDigest, Vec<LoggedEvent>>,
     events_count: usize,
 }
 
-/// Who may run the operation of a key, as far as a view shows.
+/// The claim whose claimant may run the operation of a key, by what a view contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Holder {
-    /// No valid claim, or the last holder released it.
+    /// There is no valid claim that hasn't been released.
     Nobody,
-    /// This claim was the first.
+    /// The first valid claim that hasn't been released.
     Claim(Claim),
 }
 
 impl ClaimView {
-    /// A view of nothing that starts at an offset.
+    /// Returns an empty view that starts at an offset.
     pub(crate) fn new(next_offset: LogOffset, covers_since_unix_ms: u64) -> Self {
         Self {
             next_offset,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Events that are kept.
+    /// Number of events in the view.
     pub(crate) fn events_count(&self) -> usize {
         self.events_count
     }
 
-    /// Takes in records that follow those seen so far.
+    /// Adds the records that follow those in the view; skips records below `next_offset`.
     pub(crate) fn extend(&mut self, key: &MeshKey, records: &[LogRecord]) {
         for record in records {
             if record.offset < self.next_offset {
@@ -80,8 +80,8 @@
         self.events_count += 1;
     }
 
-    /// Drops events that are too old to matter for any key that can still be
-    /// claimed: the newest record shows that their window has passed.
+    /// Removes the events of keys that can no longer be claimed: by the time of the newest record
+    /// their window has passed.
     fn trim(&mut self) {
         let window = CLAIM_WINDOW + 2 * CLOCK_SKEW_LIMIT;
         let bound = self
@@ -100,18 +100,17 @@
         self.covers_since_unix_ms = bound;
     }
 
-    /// The first place of an event.
+    /// Returns the first copy of an event in the stream.
     pub(crate) fn find(&self, event: &ClaimEvent) -> Option<&LoggedEvent> {
         let events = self.events.get(&event.key())?;
         events.iter().find(|logged| logged.event == *event)
     }
 
-    /// Who may run the operation of a key.
+    /// Returns the holder of a key.
     ///
-    /// The first valid claim by offset holds it until its own release. The
-    /// copies of a claim that was released count no more, wherever they are:
-    /// an append whose answer was lost may land after the release, and its
-    /// claimant will never run the operation.
+    /// The first valid claim by offset holds the key until its own release. Copies of a claim
+    /// that follow its release are ignored: an append whose answer was lost may arrive after the
+    /// release, and its claimant will never run the operation.
     pub(crate) fn holder(&self, key: &KeyDigest) -> Holder {
         let mut holder = Holder::Nobody;
         let mut released: Vec<ClaimId> = Vec::new();
--- a/crates/kumquatquay-core/src/operations/home.rs
+++ b/crates/kumquatquay-core/src/operations/home.rs
@@ -1,4 +1,4 @@
-//! Operations at their home: who may hand them over.
+//! Operations at their home: which call may dispatch them to a backend server.
 
 use kumquatquay_wire::{OperationRef, Outcome, Sequence};
 
@@ -11,10 +11,10 @@
 };
 use crate::{AttemptEnded, AttemptResult, Blackboard, CallEnding, CallId, Counter, Moment};
 
-/// Calls that wait for one operation.
+/// Maximum number of calls that wait for one operation.
 const WAITING_LIMIT_COUNT: usize = 4;
 
-/// Says what to do with a call for an operation whose home is this address.
+/// Returns what to do with a call for an operation whose home has the address of this node.
 pub(crate) fn step(
     board: &mut Blackboard,
     now: Moment,
@@ -40,7 +40,7 @@
     step_of_known(board, call, operation.sequence)
 }
 
-/// Files an issued id for the first time.
+/// Registers the operation of an issued id at its first use.
 fn register(
     board: &mut Blackboard,
     now: Moment,
@@ -50,7 +50,7 @@
     if now.unix_ms() > operation.expires_unix_ms {
         return OperationStep::Finish(refusals::expired_id());
     }
-    let filed = Operation {
+    let registered = Operation {
         caller: caller_digest(&board.settings.key, &call.caller),
         request: request_digest(&board.settings.key, call),
         is_body_known: call.body_digest.is_some(),
@@ -59,7 +59,11 @@
         waiting: Vec::new(),
         expires: now.monotonic + OPERATION_LIFETIME,
     };
-    if !board.operations.memory.insert(operation.sequence, filed) {
+    if !board
+        .operations
+        .memory
+        .insert(operation.sequence, registered)
+    {
         return OperationStep::Finish(refusals::memory_full());
     }
     step_of_known(board, call, operation.sequence)
@@ -109,7 +113,7 @@
     OperationStep::Wait
 }
 
-/// Takes in that an attempt of a call that holds an operation starts.
+/// Marks an operation as dispatched when an attempt starts of the call that reserved it.
 pub(crate) fn on_attempt_started(board: &mut Blackboard, call: CallId) {
     let Some(operation) = operation_of(board, call) else {
         return;
@@ -120,7 +124,7 @@
     }
 }
 
-/// Takes in what came of the attempt; `None` if the call holds no operation.
+/// Records the outcome of an attempt and returns it; `None` if the call dispatched no operation.
 pub(crate) fn on_attempt_ended(
     board: &mut Blackboard,
     call: CallId,
@@ -143,10 +147,10 @@
     Some(outcome)
 }
 
-/// What the end of an attempt proves.
+/// Returns the outcome that the end of an attempt proves.
 ///
-/// An answer that names another attempt proves nothing: it crossed with the
-/// answer to this one, which may still run.
+/// An answer with the id of another attempt proves nothing: it arrived in place of the answer to
+/// this attempt, which may still run.
 pub(crate) fn outcome_of(ended: &AttemptEnded) -> Outcome {
     match &ended.result {
         AttemptResult::NotSent => Outcome::NotRun,
@@ -173,9 +177,9 @@
     board.operations.memory.get_mut(sequence)
 }
 
-/// Lets go of an operation whose call has ended.
+/// Removes an ended call from its operation and returns the operation's number.
 ///
-/// A call that ends while an attempt is out leaves the operation lost: the
+/// If an attempt of the call is under way, the outcome of the operation stays unknown, since the
 /// attempt may still run it.
 pub(crate) fn on_call_ended(board: &mut Blackboard, call: CallId) -> Option<Sequence> {
     let sequence = board.operations.by_call.remove(&call)?;
@@ -190,8 +194,9 @@
     Some(sequence)
 }
 
-/// Resumes calls that wait for an operation and can go on: one of them if it
-/// is ready to be handed over, all of them once it is settled.
+/// Queues calls that wait for an operation to be resumed.
+///
+/// One call is resumed if the operation is ready to be dispatched, all calls once it has ended.
 pub(crate) fn wake(board: &mut Blackboard, sequence: Sequence) {
     let table = &mut board.operations;
     let Some(operation) = table.memory.get_mut(sequence) else {
--- a/crates/kumquatquay-core/src/operations/idempotency_key.rs
+++ b/crates/kumquatquay-core/src/operations/idempotency_key.rs
@@ -1,4 +1,4 @@
-//! The caller's own `Idempotency-Key`.
+//! `Idempotency-Key`s of callers and the time window in which they can be claimed.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use crate::Moment;
 
-/// How long after its own time a key may be claimed.
+/// How long after the time that it contains a key may be claimed.
 ///
 /// A claim stays in the log for at least [`MIN_LOG_RETENTION`]. A key that
 /// could be claimed for longer would find the earlier claim expired and its
 /// operation would run a second time.
 pub(crate) const CLAIM_WINDOW: Duration = Duration::from_secs(10 * 60);
 
-/// How far the clocks of callers and of the log may be apart.
+/// Maximum difference between the clocks of callers and of the log.
 pub(crate) const CLOCK_SKEW_LIMIT: Duration = Duration::from_secs(2 * 60);
 
-/// The least time for which the platform's log has to keep records.
+/// Minimum time for which the platform's log must keep records.
 pub(crate) const MIN_LOG_RETENTION: Duration = Duration::from_secs(60 * 60);
 
 const _: () = assert!(
@@ -28,7 +28,7 @@
 /// Why a key can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub(crate) enum KeyError {
-    /// It carries no time.
+    /// It contains no time.
     #[display("the Idempotency-Key is not a UUID of version 7")]
     NotUuidV7,
     /// Its earlier claim may have expired in the log.
@@ -39,7 +39,7 @@
     InFuture,
 }
 
-/// The time that a key carries, in milliseconds since the Unix epoch.
+/// Returns the time that a key contains, in milliseconds since the Unix epoch.
 pub(crate) fn key_unix_ms(text: &str) -> Result<u64, KeyError> {
     let uuid = Uuid::try_parse(text).map_err(|_| KeyError::NotUuidV7)?;
     if uuid.get_version_num() != 7 {
@@ -49,7 +49,7 @@
     Ok(seconds * 1_000 + u64::from(nanoseconds) / 1_000_000)
 }
 
-/// Whether a key of a time may be claimed at another time, both by Unix clocks.
+/// Checks whether a key with time `key_unix_ms` may be claimed at time `at_unix_ms`.
 pub(crate) fn check_window(key_unix_ms: u64, at_unix_ms: u64) -> Result<(), KeyError> {
     if at_unix_ms > key_unix_ms.saturating_add(CLAIM_WINDOW.as_millis() as u64) {
         return Err(KeyError::TooOld);
@@ -60,12 +60,12 @@
     Ok(())
 }
 
-/// No valid claim of a key was appended before this time.
+/// Returns the time before which no valid claim of a key can have been appended.
 pub(crate) fn earliest_claim_unix_ms(key_unix_ms: u64) -> u64 {
     key_unix_ms.saturating_sub(CLOCK_SKEW_LIMIT.as_millis() as u64)
 }
 
-/// Checks a key by the wall clock of this node, before a claim is appended.
+/// Checks a key by the wall clock of this node, before a claim is appended, and returns its time.
 pub(crate) fn check(text: &str, now: Moment) -> Result<u64, KeyError> {
     let key = key_unix_ms(text)?;
     check_window(key, now.unix_ms()).map(|()| key)
--- a/crates/kumquatquay-core/src/operations/mod.rs
+++ b/crates/kumquatquay-core/src/operations/mod.rs
@@ -1,8 +1,9 @@
-//! Non-idempotent operations, at most once.
+//! Runs non-idempotent operations at most once.
 //!
-//! An operation has a home, one node incarnation whose memory decides it and
-//! which alone hands it over: the node that issued its id, or the node whose
-//! claim of the caller's key is the first in the log.
+//! Each operation has a home: the one incarnation of a node that decides in its memory whether
+//! the operation runs, and that alone dispatches it to a backend server. It is the node that
+//! issued the operation id, or the node whose claim of the caller's `Idempotency-Key` is the
+//! first in the log.
 
 mod claim;
 mod claim_decision;
--- a/crates/kumquatquay-core/src/operations/operation.rs
+++ b/crates/kumquatquay-core/src/operations/operation.rs
@@ -1,4 +1,4 @@
-//! One operation in the memory of its home.
+//! An operation in the memory of its home.
 
 use std::time::Duration;
 
@@ -8,46 +8,47 @@
 };
 use crate::{CallId, StoredAnswer};
 
-/// One operation in the memory of its home.
+/// An operation in the memory of its home.
 #[derive(Clone, Debug)]
 pub(crate) struct Operation {
-    /// Digest of the caller; nobody else learns anything of the operation.
+    /// Digest of the caller; calls of other callers for the operation are refused.
     pub(crate) caller: CallerDigest,
     /// Digest of route and body.
     pub(crate) request: RequestDigest,
-    /// Whether the body is part of the digest: it was read whole.
+    /// Whether the body is part of the digest, which needs that the host had read all of it.
     pub(crate) is_body_known: bool,
     /// The claim in the log, unless the id was issued.
     pub(crate) claim: Option<Claim>,
-    /// How far it is.
+    /// Progress of the operation.
     pub(crate) state: OperationState,
     /// Calls that wait for it, in the order of their arrival.
     pub(crate) waiting: Vec<CallId>,
-    /// When it may be forgotten, on the monotonic clock.
+    /// When it may be removed, on the monotonic clock.
     pub(crate) expires: Duration,
 }
 
-/// How far an operation is.
+/// Progress of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum OperationState {
-    /// Its claim has not been read back as the first.
+    /// Its claim has not been read back as the first of its key.
     Claiming,
-    /// This node is its home and has handed nothing over.
+    /// This node is its home; the operation has not run and no call has reserved it.
     Ready,
-    /// A call prepares to hand it over; no other call may.
+    /// A call is about to dispatch it; no other call may.
     Reserved(CallId),
-    /// An attempt of a call has it, and may be running it.
+    /// An attempt of a call at a backend server may be running it.
     Dispatched(CallId),
-    /// It ran; the answer is kept if it was whole and fits.
+    /// It ran; the answer is kept if it was stored and is within the size limits.
     Ran(Option<StoredAnswer>),
-    /// It was handed over and the answer was lost; it is never run again.
+    /// It was dispatched and the answer was lost; it never runs again.
     OutcomeUnknown,
-    /// The claim lost or was released; this node never runs it.
+    /// Its claim lost or was abandoned; this node never runs it.
     Abandoned,
 }
 
 impl Operation {
-    /// Whether it may be dropped: no call is concerned with it.
+    /// Whether it may be removed: it isn't claiming, reserved or dispatched, and no call waits for
+    /// it.
     pub(crate) fn is_evictable(&self) -> bool {
         let is_busy = matches!(
             self.state,
@@ -56,7 +57,7 @@
         !is_busy && self.waiting.is_empty()
     }
 
-    /// Bytes of the answer that is kept.
+    /// Size of the stored answer in bytes.
     pub(crate) fn answer_bytes(&self) -> usize {
         match &self.state {
             OperationState::Ran(Some(answer)) => answer.body.len(),
--- a/crates/kumquatquay-core/src/operations/operation_memory.rs
+++ b/crates/kumquatquay-core/src/operations/operation_memory.rs
@@ -1,4 +1,4 @@
-//! The operations whose home is this node.
+//! Memory of the operations whose home is this node.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,22 +10,23 @@
 use super::operation::{Operation, OperationState};
 use crate::StoredAnswer;
 
-/// Operations that one node remembers.
+/// Maximum number of operations that one node remembers.
 pub(crate) const OPERATIONS_LIMIT_COUNT: usize = 65_536;
 
-/// Bytes of stored answers that one node keeps.
+/// Maximum size of the stored answers of one node.
 pub(crate) const ANSWERS_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
-/// How long an operation is remembered after it was filed.
+/// How long an operation is remembered after its registration, and how long an issued id is
+/// valid.
 pub(crate) const OPERATION_LIFETIME: Duration = Duration::from_secs(30 * 60);
 
-/// The operations whose home is this node, by their numbers.
+/// Operations whose home is this node, by their sequence numbers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OperationMemory {
     operations: BTreeMap<Sequence, Operation>,
-    /// Numbers up to this one that are not in the memory may have run. It is
-    /// the safeguard of eviction: without it a forgotten operation would look
-    /// like one that was never filed, and would run a second time.
+    /// Highest number that was evicted: operations up to it that are not in the memory may have
+    /// run. Without it an evicted operation would look like one that was never registered, and
+    /// would run a second time.
     evicted_through: Sequence,
     last_sequence: Sequence,
     /// Operations with a stored answer, the oldest first.
@@ -34,7 +35,7 @@
 }
 
 impl OperationMemory {
-    /// A number that was not given before.
+    /// Returns a new sequence number.
     pub(crate) fn next_sequence(&mut self) -> Sequence {
         self.last_sequence += 1;
         self.last_sequence
@@ -62,17 +63,17 @@
             .map(|(sequence, operation)| (*sequence, operation))
     }
 
-    /// Whether a number was given and never filed, so that its operation has
-    /// certainly not run.
+    /// Whether a number was issued and never registered, so that its operation has certainly not
+    /// run.
     pub(crate) fn is_unregistered(&self, sequence: Sequence) -> bool {
-        let is_given = sequence <= self.last_sequence;
-        let is_filed = self.operations.contains_key(&sequence);
-        is_given && !is_filed && sequence > self.evicted_through
+        let is_issued = sequence <= self.last_sequence;
+        let is_registered = self.operations.contains_key(&sequence);
+        is_issued && !is_registered && sequence > self.evicted_through
     }
 
-    /// Adds an operation, forgetting the oldest settled one if there is no room.
+    /// Adds an operation; evicts the oldest evictable one if the memory is full.
     ///
-    /// Returns whether there is room.
+    /// Returns whether there was room.
     pub(crate) fn insert(&mut self, sequence: Sequence, operation: Operation) -> bool {
         if self.operations.len() >= OPERATIONS_LIMIT_COUNT && !self.evict_oldest() {
             return false;
@@ -82,6 +83,8 @@
     }
 
     /// Records that an operation ran, with its answer.
+    ///
+    /// Drops the oldest answers while the stored ones exceed [`ANSWERS_LIMIT_BYTES`].
     pub(crate) fn set_ran(&mut self, sequence: Sequence, answer: Option<StoredAnswer>) {
         let Some(operation) = self.operations.get_mut(&sequence) else {
             return;
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Forgets what has expired, the oldest first.
+    /// Removes and returns expired operations, oldest first, up to the first that must stay.
     pub(crate) fn expire(&mut self, now: Duration) -> Vec<Operation> {
         let mut expired = Vec::new();
         while let Some(entry) = self.operations.first_entry() {
@@ -126,11 +129,11 @@
     }
 
     fn evict_oldest(&mut self) -> bool {
-        let settled = self
+        let evictable = self
             .operations
             .iter()
             .find(|(_, operation)| operation.is_evictable());
-        let Some(sequence) = settled.map(|(sequence, _)| *sequence) else {
+        let Some(sequence) = evictable.map(|(sequence, _)| *sequence) else {
             return false;
         };
         self.remove(sequence).is_some()
@@ -139,13 +142,13 @@
     fn remove(&mut self, sequence: Sequence) -> Option<Operation> {
         self.drop_answer(sequence);
         self.evicted_through = self.evicted_through.max(sequence);
-        let forgotten = self.operations.remove(&sequence);
+        let removed = self.operations.remove(&sequence);
         while let Some(oldest) = self.answered.front() {
             if self.operations.contains_key(oldest) {
                 break;
             }
             self.answered.pop_front();
         }
-        forgotten
+        removed
     }
 }
