--- a/crates/kumquatquay-core/src/call/ending.rs
+++ b/crates/kumquatquay-core/src/call/ending.rs
@@ -62,7 +62,7 @@
             finish(board, now, id, ending, out);
             return;
         }
-        OperationVerdict::NotSent => true,
+        OperationVerdict::NotRun => true,
         OperationVerdict::NotAnOperation => is_failure(&ended.result, outcome),
     };
     let retry_cost = is_failed
--- a/crates/kumquatquay-core/src/operations/controller.rs
+++ b/crates/kumquatquay-core/src/operations/controller.rs
@@ -243,7 +243,7 @@
         None => home::outcome_of(ended),
     };
     match outcome {
-        Outcome::NotRun => OperationVerdict::NotSent,
+        Outcome::NotRun => OperationVerdict::NotRun,
         Outcome::Ran | Outcome::Unknown => OperationVerdict::Finish(ending_of(ended, outcome)),
     }
 }
@@ -269,7 +269,7 @@
 /// done so.
 fn verdict_of_forwarded(ended: &AttemptEnded) -> OperationVerdict {
     match &ended.result {
-        AttemptResult::NotSent => OperationVerdict::NotSent,
+        AttemptResult::NotSent => OperationVerdict::NotRun,
         _ => OperationVerdict::Finish(ending_of(ended, home::outcome_of(ended))),
     }
 }
--- a/crates/kumquatquay-core/src/operations/issued_id.rs
+++ b/crates/kumquatquay-core/src/operations/issued_id.rs
@@ -5,19 +5,19 @@
 
 use super::digest::CallerDigest;
 
-/// What an issued id says, under the authentication code of the mesh.
+/// Contents of an issued operation id; its text form is authenticated with the mesh key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct IssuedId {
     /// The operation and its home.
     pub(crate) operation: OperationRef,
-    /// Who asked for the id; nobody else can use it.
+    /// Digest of the caller that requested the id; other callers can't use it.
     pub(crate) caller: CallerDigest,
 }
 
 impl IssuedId {
     const PURPOSE: &'static str = "issued operation id";
 
-    /// The longest id that is looked at, in bytes.
+    /// Maximum length of an id in bytes; longer ones are rejected undecoded.
     pub(crate) const LIMIT_BYTES: usize = 160;
 
     pub(crate) fn to_text(&self, key: &MeshKey) -> String {
--- a/crates/kumquatquay-core/src/operations/operation_call.rs
+++ b/crates/kumquatquay-core/src/operations/operation_call.rs
@@ -1,15 +1,15 @@
-//! What the life of a call and the operations tell each other.
+//! Interface between the handling of calls and the operations.
 
 use kumquatquay_wire::{BodyDigest, CallerName, OperationRef};
 
 use crate::{CallArrived, CallEnding, CallId, CallOrigin, Moment};
 
-/// What the operations need to know of a call.
+/// The properties of a call that the operations need.
 #[derive(Clone, Debug)]
 pub(crate) struct OperationCall {
     /// The call.
     pub(crate) call: CallId,
-    /// Authenticated caller at the entry; empty if none was proved.
+    /// Authenticated caller at the entry; empty if the caller did not authenticate.
     pub(crate) caller: CallerName,
     /// Method, service, path and query.
     pub(crate) route: String,
@@ -28,7 +28,7 @@
 }
 
 impl OperationCall {
-    /// Takes what matters from a call as it arrived.
+    /// Copies the properties from a call that has arrived.
     pub(crate) fn new(
         arrived: &CallArrived,
         caller: CallerName,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether the call names an operation, so that resends are recognised.
+    /// Whether the call has a key or id by which repeats of its operation are recognised.
     pub(crate) fn is_operation(&self) -> bool {
         let is_named = self.idempotency_key.is_some() || self.operation_id.is_some();
         self.home.is_some() || (is_named && !self.is_idempotent)
@@ -70,23 +70,23 @@
 pub(crate) enum OperationStep {
     /// Start the attempt at a backend server of the service.
     Proceed,
-    /// Start nothing; `call::resume` is called when it is decided.
+    /// Start no attempt; `call::resume` is called when the call no longer has to wait.
     Wait,
-    /// Start the attempt at the home of the operation, with this in its
-    /// context; the peer address is [`OperationRef::home`].
+    /// Start the attempt at the home of the operation, whose peer address is
+    /// [`OperationRef::home`], with this value in the context.
     ForwardToHome(OperationRef),
-    /// End the call.
+    /// End the call with this.
     Finish(CallEnding),
 }
 
 /// What to do with a call after an attempt of it ended.
 #[derive(Clone, Debug)]
 pub(crate) enum OperationVerdict {
-    /// The call is idempotent: judge it by the rules for such calls.
+    /// The call is idempotent: the rules for idempotent calls apply.
     NotAnOperation,
-    /// Nothing was handed over; another attempt is safe, after
+    /// The attempt did not run anything; another one is safe, after
     /// [`before_attempt`](super::before_attempt).
-    NotSent,
-    /// No further attempt: end the call so.
+    NotRun,
+    /// Make no further attempt and end the call with this.
     Finish(CallEnding),
 }
--- a/crates/kumquatquay-core/src/operations/operation_dump.rs
+++ b/crates/kumquatquay-core/src/operations/operation_dump.rs
@@ -8,21 +8,21 @@
 /// Operations in a [`StateDump`](crate::StateDump).
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OperationDump {
-    /// Operations whose home is this node.
+    /// Number of remembered operations whose home is this node.
     pub remembered_count: usize,
-    /// Of these, claims that the log has not decided.
+    /// Of these, operations with a claim that is not yet decided.
     pub claiming_count: usize,
-    /// Of these, handed over and not answered.
+    /// Of these, operations that were dispatched and not answered yet.
     pub handed_over_count: usize,
-    /// Of these, handed over with a lost answer; they never run again.
+    /// Of these, operations that were dispatched and whose answer was lost; they never run again.
     pub lost_count: usize,
-    /// Bytes of stored answers.
+    /// Size of the stored answers in bytes.
     pub answers_bytes: usize,
-    /// Claim streams that this node has read.
+    /// Number of claim streams of which this node keeps a view.
     pub claim_streams_count: usize,
-    /// Events of claim streams that are kept.
+    /// Number of events in the views of claim streams.
     pub claim_events_count: usize,
-    /// Since when the log has failed, in milliseconds; absent while it works.
+    /// How long the log has been failing, in milliseconds; absent while it works.
     pub log_failing_ms: Option<u64>,
 }
 
--- a/crates/kumquatquay-core/src/operations/operation_policy.rs
+++ b/crates/kumquatquay-core/src/operations/operation_policy.rs
@@ -1,6 +1,6 @@
-//! How strictly operations are decided.
+//! Rules for operations that tests can switch off.
 
-/// How strictly operations are decided, for tests that want to see a rule fail.
+/// Rules for operations that tests can switch off to see what goes wrong without them.
 ///
 /// # Examples
 ///
@@ -11,14 +11,14 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationPolicy {
-    /// Whether a claim has to be read back as the first of its key before the
-    /// operation runs. Without it two nodes that claim at the same time both
-    /// run the operation; only tests switch it off.
+    /// Whether a claim must be read back as the first of its key before the operation runs.
+    /// Without this rule two nodes that claim at the same time both run the operation; only tests
+    /// switch it off.
     pub reads_claims_back: bool,
 }
 
 impl OperationPolicy {
-    /// Every rule holds.
+    /// All rules are in force.
     pub const fn strict() -> Self {
         Self {
             reads_claims_back: true,
--- a/crates/kumquatquay-core/src/operations/refusals.rs
+++ b/crates/kumquatquay-core/src/operations/refusals.rs
@@ -1,9 +1,9 @@
 //! Refusals of operations.
 //!
-//! Their outcome is about the operation, not about one send of it: a caller
-//! that is told `not-run` may file the same thing under a new key, so that is
-//! said only by a home that knows. Asking again under the same key or id is
-//! always safe, and the details say so.
+//! The outcome in a refusal is that of the operation, not that of one attempt: on `not-run` a
+//! caller may repeat the same request under a new key, so that outcome is given only where it is
+//! certain that the operation has not run. A retry under the same key or id is always safe, and
+//! the details say so.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::idempotency_key::KeyError;
 use crate::{CallEnding, Refusal, RefusalReason};
 
-/// When a caller may ask again for something that is being decided.
+/// When a caller may retry a request whose operation is not decided yet.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 fn refuse(
@@ -34,8 +34,9 @@
     refuse(reason, Outcome::Unknown, retry_after, detail)
 }
 
-/// The key can't be used; whether it was used before is unknown if it was once
-/// usable.
+/// The key can't be used.
+///
+/// The outcome is unknown for a key that is valid at another time: it may have been used then.
 pub(crate) fn invalid_key(error: KeyError) -> CallEnding {
     let outcome = match error {
         KeyError::NotUuidV7 => Outcome::NotRun,
@@ -57,7 +58,7 @@
 }
 
 pub(crate) fn expired_id() -> CallEnding {
-    let detail = "the operation id has expired and its home has forgotten it";
+    let detail = "the operation id has expired and its home no longer remembers it";
     refuse(
         RefusalReason::OperationInvalid,
         Outcome::Unknown,
@@ -77,7 +78,7 @@
 }
 
 pub(crate) fn other_body() -> CallEnding {
-    let detail = "the operation was filed with another route or body";
+    let detail = "the key or id was used before with another route or body";
     refuse(
         RefusalReason::OperationConflict,
         Outcome::Unknown,
@@ -89,32 +90,33 @@
 pub(crate) fn home_gone() -> CallEnding {
     undecided(
         None,
-        "the node that decides this operation is gone; it may have run and will not run again",
+        "the node that decides this operation was restarted or replaced; the operation may have run \
+         and will not run again",
     )
 }
 
 pub(crate) fn home_unreachable() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the node that decides this operation can't be reached; ask again under the same key or id",
+        "the node that decides this operation can't be reached; retry with the same key or id",
     )
 }
 
 pub(crate) fn outcome_unknown() -> CallEnding {
     undecided(
         None,
-        "the operation was handed over and its answer was lost; it will not run again",
+        "the operation was sent to a backend server and its answer was lost; it will not run again",
     )
 }
 
-/// An attempt ended without an answer after it was handed over.
+/// An attempt that may have run ended without an answer.
 pub(crate) fn answer_lost(reason: RefusalReason) -> CallEnding {
-    let detail = "the request was handed over and its answer was lost; it is not sent again";
+    let detail = "the request was sent and its answer was lost; it is not sent again";
     refuse(reason, Outcome::Unknown, None, detail)
 }
 
 pub(crate) fn deadline_exceeded() -> CallEnding {
-    let detail = "the operation was not decided in the time allowed; ask again under the same key";
+    let detail = "the operation was not decided before the deadline; retry with the same key";
     let reason = RefusalReason::Deadline;
     refuse(reason, Outcome::Unknown, Some(RETRY_AFTER), detail)
 }
@@ -122,29 +124,29 @@
 pub(crate) fn claim_abandoned() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the claim was given up; ask again under the same key",
+        "the claim of the key was abandoned; retry with the same key",
     )
 }
 
 pub(crate) fn busy() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the operation is under way; ask again under the same key or id",
+        "the operation is under way; retry with the same key or id",
     )
 }
 
 pub(crate) fn log_down() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the log does not answer, so the key can't be claimed; ask again under the same key, or \
-         file new work under an id from POST /operations, which needs no log",
+        "the log does not answer, so the key can't be claimed; retry with the same key, or use an \
+         id from POST /operations for new work, which needs no log",
     )
 }
 
 pub(crate) fn log_incomplete() -> CallEnding {
     undecided(
         None,
-        "the log lost records, so an earlier claim of the key can't be ruled out",
+        "the log lost records, so an earlier claim of the key can't be excluded",
     )
 }
 
@@ -157,7 +159,7 @@
     )
 }
 
-/// The home has no room; nothing was ever filed under this id.
+/// The home has no room for the operation; nothing has run under its id.
 pub(crate) fn memory_full() -> CallEnding {
     let detail = "this node has no room for another operation";
     let reason = RefusalReason::OperationUndecided;
