--- a/crates/kumquatquay-core/src/membership/data_centre_relay.rs
+++ b/crates/kumquatquay-core/src/membership/data_centre_relay.rs
@@ -58,7 +58,7 @@
     transmit_counts: TransmitCounts,
 }
 
-/// Members whose records are to be sent to one data centre, with their transmissions so far.
+/// Members whose records are queued for one data centre, with the transmissions of each so far.
 #[derive(Debug)]
 struct RelayQueue {
     pending: BTreeMap<SocketAddr, u8>,
--- a/crates/kumquatquay-core/src/membership/suspicion.rs
+++ b/crates/kumquatquay-core/src/membership/suspicion.rs
@@ -92,9 +92,9 @@
 
 /// Whether the silent members are too many of all others to have failed independently.
 ///
-/// Servers fail singly or by rack. When more than a third is silent at once, the likely cause is
-/// the network, perhaps that of this node. If they were declared gone, each side of a partition
-/// would send the load to the members that it still sees, which are only a part.
+/// Servers fail singly or by rack. When more than a third is silent at once, the likely cause
+/// is the network, perhaps that of this node. Declaring them gone would leave each side of a
+/// partition with only a part of the members for the load that remains.
 fn is_mass_silence(silent_count: usize, others_count: usize) -> bool {
     silent_count >= MASS_SILENCE_MIN_COUNT && silent_count * 3 > others_count
 }
