--- a/crates/kumquatquay-core/src/operations/refusals.rs
+++ b/crates/kumquatquay-core/src/operations/refusals.rs
@@ -90,8 +90,8 @@
 pub(crate) fn home_gone() -> CallEnding {
     undecided(
         None,
-        "the node that decides this operation was restarted or replaced; the operation may have run \
-         and will not run again",
+        "the node that decides this operation was restarted or replaced; the operation may \
+         have run and will not run again",
     )
 }
 
