--- a/crates/kumquatquay-core/src/call/refusals.rs
+++ b/crates/kumquatquay-core/src/call/refusals.rs
@@ -12,21 +12,21 @@
 pub(super) fn no_backend_server() -> Refusal {
     not_run(
         RefusalReason::NoBackendServer,
-        "this node knows no backend server of the service or can't reach any",
+        "no backend server of the service is known or can be reached here",
     )
 }
 
 pub(super) fn node_full() -> Refusal {
     not_run(
         RefusalReason::Overloaded,
-        "this node has reached its limit of concurrent calls",
+        "this node has as many calls under way as it can keep",
     )
 }
 
 pub(super) fn retries_exhausted() -> Refusal {
     not_run(
         RefusalReason::RetriesSpent,
-        "the request has too few retries left to make this call again",
+        "the request has no retries left that this repeated call could use",
     )
 }
 
@@ -35,7 +35,7 @@
         retry_after: None,
         ..not_run(
             RefusalReason::Deadline,
-            "the deadline passed before the call was sent",
+            "the time allowed ran out before the call was sent",
         )
     }
 }
@@ -45,7 +45,7 @@
         reason: RefusalReason::Overloaded,
         outcome: Outcome::NotRun,
         retry_after: Some(retry_after),
-        detail: format!("{service} is overloaded and admits only more important requests"),
+        detail: format!("{service} is overloaded and serves more important requests first"),
     }
 }
 
@@ -53,7 +53,7 @@
     without_retry_after(
         RefusalReason::Abandoned,
         outcome,
-        "the request for which this call was made was cancelled",
+        "the request that this call was made for was given up",
     )
 }
 
@@ -61,7 +61,7 @@
     without_retry_after(
         RefusalReason::Broken,
         outcome,
-        "the connection broke before the answer was received",
+        "the connection broke and the answer was lost",
     )
 }
 
@@ -69,7 +69,7 @@
     without_retry_after(
         RefusalReason::Deadline,
         outcome,
-        "the deadline passed before the answer was received",
+        "the time allowed ran out before the answer",
     )
 }
 
--- a/crates/kumquatquay-core/src/gate/admission.rs
+++ b/crates/kumquatquay-core/src/gate/admission.rs
@@ -23,23 +23,23 @@
 
 const GATE_FULL: (RefusalReason, &str) = (
     RefusalReason::GateFull,
-    "the backend server is at capacity with requests that are at least as important",
+    "the backend server is full of work at least as important",
 );
 const DEADLINE_EXCEEDED: (RefusalReason, &str) = (
     RefusalReason::Deadline,
-    "the deadline would pass before the backend server could answer",
+    "the time allowed would run out before the backend server could answer",
 );
 const LEAVING: (RefusalReason, &str) = (
     RefusalReason::Leaving,
-    "the backend server is shutting down and accepts no new requests",
+    "the backend server takes no new work",
 );
 const NO_BACKEND_SERVER: (RefusalReason, &str) = (
     RefusalReason::NoBackendServer,
-    "no backend server is registered on this host",
+    "no backend server has announced itself on this host",
 );
 const CALLER_LIMIT_EXCEEDED: (RefusalReason, &str) = (
     RefusalReason::CallerLimit,
-    "the caller exceeds the rate limit that its intent sets",
+    "the caller is over the limit of its intent",
 );
 
 /// Queues or refuses work that arrived from another node or from this one, and runs queued work
--- a/crates/kumquatquay-core/src/membership/draining.rs
+++ b/crates/kumquatquay-core/src/membership/draining.rs
@@ -36,7 +36,7 @@
     board.membership.drain_state.is_drained = true;
     update_own_state(board, now);
     OperatorReply::Done {
-        message: String::from("this host takes no new work and finishes its current work"),
+        message: String::from("this host takes no new work; what it has is finished"),
     }
 }
 
--- a/crates/kumquatquay-core/src/operations/refusals.rs
+++ b/crates/kumquatquay-core/src/operations/refusals.rs
@@ -58,7 +58,7 @@
 }
 
 pub(crate) fn expired_id() -> CallEnding {
-    let detail = "the operation id has expired and its home no longer remembers it";
+    let detail = "the operation id has expired and its home has forgotten it";
     refuse(
         RefusalReason::OperationInvalid,
         Outcome::Unknown,
@@ -78,7 +78,7 @@
 }
 
 pub(crate) fn other_body() -> CallEnding {
-    let detail = "the key or id was used before with another route or body";
+    let detail = "the operation was filed with another route or body";
     refuse(
         RefusalReason::OperationConflict,
         Outcome::Unknown,
@@ -90,33 +90,32 @@
 pub(crate) fn home_gone() -> CallEnding {
     undecided(
         None,
-        "the node that decides this operation was restarted or replaced; the operation may \
-         have run and will not run again",
+        "the node that decides this operation is gone; it may have run and will not run again",
     )
 }
 
 pub(crate) fn home_unreachable() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the node that decides this operation can't be reached; retry with the same key or id",
+        "the node that decides this operation can't be reached; ask again under the same key or id",
     )
 }
 
 pub(crate) fn outcome_unknown() -> CallEnding {
     undecided(
         None,
-        "the operation was sent to a backend server and its answer was lost; it will not run again",
+        "the operation was handed over and its answer was lost; it will not run again",
     )
 }
 
 /// An attempt that may have run ended without an answer.
 pub(crate) fn answer_lost(reason: RefusalReason) -> CallEnding {
-    let detail = "the request was sent and its answer was lost; it is not sent again";
+    let detail = "the request was handed over and its answer was lost; it is not sent again";
     refuse(reason, Outcome::Unknown, None, detail)
 }
 
 pub(crate) fn deadline_exceeded() -> CallEnding {
-    let detail = "the operation was not decided before the deadline; retry with the same key";
+    let detail = "the operation was not decided in the time allowed; ask again under the same key";
     let reason = RefusalReason::Deadline;
     refuse(reason, Outcome::Unknown, Some(RETRY_AFTER), detail)
 }
@@ -124,29 +123,29 @@
 pub(crate) fn claim_abandoned() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the claim of the key was abandoned; retry with the same key",
+        "the claim was given up; ask again under the same key",
     )
 }
 
 pub(crate) fn busy() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the operation is under way; retry with the same key or id",
+        "the operation is under way; ask again under the same key or id",
     )
 }
 
 pub(crate) fn log_down() -> CallEnding {
     undecided(
         Some(RETRY_AFTER),
-        "the log does not answer, so the key can't be claimed; retry with the same key, or use an \
-         id from POST /operations for new work, which needs no log",
+        "the log does not answer, so the key can't be claimed; ask again under the same key, or \
+         file new work under an id from POST /operations, which needs no log",
     )
 }
 
 pub(crate) fn log_incomplete() -> CallEnding {
     undecided(
         None,
-        "the log lost records, so an earlier claim of the key can't be excluded",
+        "the log lost records, so an earlier claim of the key can't be ruled out",
     )
 }
 
--- a/crates/kumquatquay-core/src/quarantine/controller.rs
+++ b/crates/kumquatquay-core/src/quarantine/controller.rs
@@ -137,7 +137,7 @@
         retry_after: Some(remaining),
         detail: format!(
             "{crashes_count} backend servers died while they ran this request; it is refused \
-             until the quarantine expires or an operator releases it"
+             until the quarantine lapses or an operator releases it"
         ),
     }
 }
@@ -196,12 +196,12 @@
     }
     if !board.quarantine.running_suspects.is_empty() {
         return Verdict::Refuse(temporary_refusal(
-            "another suspected request is running; retry later",
+            "another suspected request runs; ask again",
         ));
     }
     let target = isolation_endpoint(board, &service);
     if target.is_some_and(|target| target != board.settings.peer) {
-        let detail = "suspected of a crash; it may run only at another backend server";
+        let detail = "suspected of a crash; it may run at another backend server only";
         return Verdict::Refuse(temporary_refusal(detail));
     }
     Verdict::Isolate
--- a/crates/kumquatquay-core/src/routed/mechanisms.rs
+++ b/crates/kumquatquay-core/src/routed/mechanisms.rs
@@ -119,7 +119,7 @@
 
 /// The name of an unknown mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
-#[display("unknown mechanism {name:?}, expected one of {}", Mechanism::ALL.map(|known| known.to_string()).join(", "))]
+#[display("{name:?} is no mechanism; there are {}", Mechanism::ALL.map(|known| known.to_string()).join(", "))]
 pub struct UnknownMechanism {
     /// Name as it was given.
     pub name: String,
--- a/crates/kumquatquayd/src/routed/admission.rs
+++ b/crates/kumquatquayd/src/routed/admission.rs
@@ -286,13 +286,13 @@
     local_answer(
         StatusCode::SERVICE_UNAVAILABLE,
         Some(wait),
-        "not enough capacity for this request\n",
+        "no room for the whole request\n",
     )
 }
 
 fn refuse_stopping(node: &RoutedNode, call: &OutgoingCall) -> Response<BufferedBody> {
     node.metrics.count("refused", "stopping");
-    refuse_temporarily(node, call, "this node is shutting down\n")
+    refuse_temporarily(node, call, "this node stops\n")
 }
 
 /// Refuses a request that has not run, with a time after which to retry.
--- a/crates/kumquatquayd/src/routed/caller_identity.rs
+++ b/crates/kumquatquayd/src/routed/caller_identity.rs
@@ -68,12 +68,12 @@
     /// Body of the response.
     pub(crate) fn text(self) -> &'static str {
         match self {
-            Self::NoConfiguration => "no configuration is loaded yet\n",
-            Self::NoRoute => "no route matches\n",
-            Self::NoKey => "this route requires an API key\n",
-            Self::UnknownKey => "unknown API key\n",
-            Self::UnverifiedKey => "this API key could not be verified yet\n",
-            Self::NoProof => "this node cannot verify that the API key is still valid\n",
+            Self::NoConfiguration => "no configuration yet\n",
+            Self::NoRoute => "no route\n",
+            Self::NoKey => "this route asks for a key\n",
+            Self::UnknownKey => "this key is not known\n",
+            Self::UnverifiedKey => "whether this key is known is not known yet\n",
+            Self::NoProof => "this node can't tell whether the key is still good\n",
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/entry.rs
+++ b/crates/kumquatquayd/src/routed/entry.rs
@@ -55,11 +55,7 @@
     if is_refused_for_shutdown(node, &route) {
         node.metrics.count("refused", "stopping");
         let retry = Some(retry_after(node, &route.settings));
-        return local_answer(
-            StatusCode::SERVICE_UNAVAILABLE,
-            retry,
-            "this node is shutting down\n",
-        );
+        return local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "this node stops\n");
     }
     if table.workspaces().require_keys() {
         // Backend servers and other nodes must not see the key.
@@ -69,11 +65,7 @@
         Ok(body) => body,
         Err(status) => {
             node.metrics.count("refused", "body");
-            return local_answer(
-                status,
-                None,
-                "the request body is too large or incomplete\n",
-            );
+            return local_answer(status, None, "the body is too long or broken\n");
         }
     };
     let token = match &identified.workspace {
@@ -185,7 +177,7 @@
     local_answer(
         status,
         Some(retry),
-        "the quota of the workspace is exceeded\n",
+        "the quota of the workspace is used up\n",
     )
 }
 
@@ -342,11 +334,7 @@
             node.metrics.count("refused", not_run_label(*reason));
             log_request_end(node, call, &answer, "refused", received_at);
             let retry = Some(retry_after(node, &call.route.settings));
-            local_answer(
-                StatusCode::SERVICE_UNAVAILABLE,
-                retry,
-                "no backend server could take the request\n",
-            )
+            local_answer(StatusCode::SERVICE_UNAVAILABLE, retry, "no room\n")
         }
         LinkOutcome::Unknown(UnknownReason::NoAnswer) => {
             node.metrics
@@ -357,11 +345,7 @@
         LinkOutcome::Unknown(reason) => {
             node.metrics.count("failed", unknown_label(*reason));
             log_request_end(node, call, &answer, "failed", received_at);
-            local_answer(
-                StatusCode::BAD_GATEWAY,
-                None,
-                "no complete answer from the backend server\n",
-            )
+            local_answer(StatusCode::BAD_GATEWAY, None, "no whole answer\n")
         }
     }
 }
--- a/crates/kumquatquayd/src/routed/pipelining.rs
+++ b/crates/kumquatquayd/src/routed/pipelining.rs
@@ -151,11 +151,7 @@
             "callers leave too many answers unread; requests are refused");
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    local_answer(
-        status,
-        Some(UNREAD_RETRY_AFTER),
-        "too many answers are unread\n",
-    )
+    local_answer(status, Some(UNREAD_RETRY_AFTER), "too much is unread\n")
 }
 
 /// Reads the body of a request; on failure returns the answer for a broken body.
--- a/crates/kumquatquayd/src/routed/reports.rs
+++ b/crates/kumquatquayd/src/routed/reports.rs
@@ -34,7 +34,7 @@
     let (parts, body) = request.into_parts();
     let body = match Limited::new(body, REPORT_LIMIT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => return reject_report(&node, format!("cannot read the body: {error}")),
+        Err(error) => return reject_report(&node, format!("the body can't be read: {error}")),
     };
     let report = (node.dialect.read_report)(&parts, &body);
     match report.and_then(|report| apply_report(&node, report)) {
@@ -99,7 +99,7 @@
     let own = node.settings.backend;
     if address != own {
         return Err(format!(
-            "address: {address} is not {own}, the backend server of this host"
+            "address: {address} is not {own}, that of this host"
         ));
     }
     let routes = node.routes();
